--- a/bench/scale/fleet_sweep.cpp
+++ b/bench/scale/fleet_sweep.cpp
@@ -7,7 +7,8 @@
 #include "report.h"
 #include "sweeps.h"
 
-namespace silverreach::scale {
+namespace gateway::scale {
+using namespace decision;
 using namespace std::chrono_literals;
 
 namespace {
@@ -195,4 +196,4 @@
     print_exponent("fleet", "memory_mb", "gateways", memory_points);
 }
 
-}  // namespace silverreach::scale
+}  // namespace gateway::scale
--- a/bench/scale/gateway_run.cpp
+++ b/bench/scale/gateway_run.cpp
@@ -19,7 +19,7 @@
 
 #include "report.h"
 
-namespace silverreach::scale {
+namespace gateway::scale {
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 using asio::ip::tcp;
@@ -203,4 +203,4 @@
     for (const int hosts : run.hosts) measure(run, hosts);
 }
 
-}  // namespace silverreach::scale
+}  // namespace gateway::scale
--- a/bench/scale/gateway_run.h
+++ b/bench/scale/gateway_run.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace silverreach::scale {
+namespace gateway::scale {
 
 struct GatewayRun {
     std::string program;  // the gateway's
@@ -17,4 +17,4 @@
 // Throws std::runtime_error where the program can't be started or ends during the run.
 void run(const GatewayRun& run);
 
-}  // namespace silverreach::scale
+}  // namespace gateway::scale
--- a/bench/scale/host_sweep.cpp
+++ b/bench/scale/host_sweep.cpp
@@ -5,7 +5,8 @@
 #include "report.h"
 #include "sweeps.h"
 
-namespace silverreach::scale {
+namespace gateway::scale {
+using namespace decision;
 using namespace std::chrono_literals;
 
 namespace {
@@ -147,4 +148,4 @@
     print_exponent("hosts", "memory_mb", "hosts", bytes_points);
 }
 
-}  // namespace silverreach::scale
+}  // namespace gateway::scale
--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -10,7 +10,7 @@
 #include "gateway_run.h"
 #include "sweeps.h"
 
-namespace scale = silverreach::scale;
+namespace scale = gateway::scale;
 
 namespace {
 constexpr int most_hosts = 200'000, most_gateways = 2'400, most_tenants = 100'000;
--- a/bench/scale/measure.cpp
+++ b/bench/scale/measure.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace silverreach::scale {
+namespace gateway::scale {
 
 double thread_cpu_seconds() {
     timespec now{};
@@ -48,4 +48,4 @@
     return (count * sum_xy - sum_x * sum_y) / (count * sum_xx - sum_x * sum_x);
 }
 
-}  // namespace silverreach::scale
+}  // namespace gateway::scale
--- a/bench/scale/measure.h
+++ b/bench/scale/measure.h
@@ -6,7 +6,7 @@
 #include <functional>
 #include <vector>
 
-namespace silverreach::scale {
+namespace gateway::scale {
 
 // Processor time that this thread has used, in seconds.
 double thread_cpu_seconds();
@@ -29,4 +29,4 @@
 // The exponent e of value = c * size^e, by least squares over the logarithms; sizes and values above 0.
 double fitted_exponent(const std::vector<Point>& points);
 
-}  // namespace silverreach::scale
+}  // namespace gateway::scale
--- a/bench/scale/module_settings.cpp
+++ b/bench/scale/module_settings.cpp
@@ -1,6 +1,7 @@
 #include "module_settings.h"
 
-namespace silverreach::scale {
+namespace gateway::scale {
+using namespace decision;
 using namespace std::chrono_literals;
 
 namespace {
@@ -9,7 +10,7 @@
 constexpr int hosts_in_a_cell = 8;
 }  // namespace
 
-Settings module_settings(int rank, int instances) {
+decision::Settings module_settings(int rank, int instances) {
     Settings settings;
     settings.rank = rank;
     settings.instances = instances;
@@ -38,7 +39,7 @@
     return settings;
 }
 
-HostEntry host_entry(int number, int zones, int generation) {
+decision::HostEntry host_entry(int number, int zones, int generation) {
     HostEntry entry;
     entry.host = "s-" + std::to_string(1000000 + number) + '-' + std::to_string(generation);
     entry.zone = "zone-" + std::to_string(number % zones);
@@ -47,4 +48,4 @@
     return entry;
 }
 
-}  // namespace silverreach::scale
+}  // namespace gateway::scale
--- a/bench/scale/module_settings.h
+++ b/bench/scale/module_settings.h
@@ -1,12 +1,12 @@
 // The settings under which the module is measured: two classes, one plan, messages between gateways.
 #pragma once
 
-#include "silverreach/interface.h"
+#include "gateway/interface.h"
 
-namespace silverreach::scale {
+namespace gateway::scale {
 
-Settings module_settings(int rank, int instances);
+decision::Settings module_settings(int rank, int instances);
 // Host `number` of a fleet spread over `zones` zones; `generation` counts its restarts.
-HostEntry host_entry(int number, int zones, int generation = 0);
+decision::HostEntry host_entry(int number, int zones, int generation = 0);
 
-}  // namespace silverreach::scale
+}  // namespace gateway::scale
--- a/bench/scale/report.cpp
+++ b/bench/scale/report.cpp
@@ -2,7 +2,7 @@
 
 #include <cstdio>
 
-namespace silverreach::scale {
+namespace gateway::scale {
 
 void print(const Row& row, std::uint64_t seed) {
     std::printf("{\"sweep\":\"%s\",\"seed\":%llu", row.sweep.c_str(), static_cast<unsigned long long>(seed));
@@ -33,4 +33,4 @@
                  size.c_str(), exponent, points.size());
 }
 
-}  // namespace silverreach::scale
+}  // namespace gateway::scale
--- a/bench/scale/report.h
+++ b/bench/scale/report.h
@@ -9,7 +9,7 @@
 
 #include "measure.h"
 
-namespace silverreach::scale {
+namespace gateway::scale {
 
 // One measured point: the sizes it was taken at and what was found there, each name with its unit.
 struct Row {
@@ -24,4 +24,4 @@
 void print_exponent(const std::string& sweep, const std::string& value, const std::string& size,
                     const std::vector<Point>& points);
 
-}  // namespace silverreach::scale
+}  // namespace gateway::scale
--- a/bench/scale/sweeps.h
+++ b/bench/scale/sweeps.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <vector>
 
-namespace silverreach::scale {
+namespace gateway::scale {
 
 // One instance of the decision module with lists of so many hosts: what a changed host, a zone that is lost
 // at once, the periodic clean-up and a request cost, and what the list holds in memory.
@@ -29,4 +29,4 @@
 };
 void run(const FleetSweep& sweep);
 
-}  // namespace silverreach::scale
+}  // namespace gateway::scale
--- a/include/silverreach/interface.h
+++ b/include/gateway/interface.h
@@ -12,7 +12,7 @@
 #include <variant>
 #include <vector>
 
-namespace silverreach {
+namespace gateway::decision {
 
 using Micros = std::chrono::microseconds;
 using RequestId = std::uint64_t;
@@ -239,4 +239,4 @@
     std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace silverreach
+}  // namespace gateway::decision
--- a/include/silverreach/request_rules.h
+++ b/include/gateway/request_rules.h
@@ -9,9 +9,9 @@
 #include <string_view>
 #include <vector>
 
-#include "silverreach/interface.h"
+#include "gateway/interface.h"
 
-namespace silverreach {
+namespace gateway::decision {
 
 // What hosts share their memory of keyed requests by.
 struct HostPlace {
@@ -80,4 +80,4 @@
     const Settings& settings_;
 };
 
-}  // namespace silverreach
+}  // namespace gateway::decision
--- a/include/silverreach/rule_guard.h
+++ b/include/gateway/rule_guard.h
@@ -10,10 +10,10 @@
 #include <string>
 #include <unordered_map>
 
-#include "silverreach/interface.h"
-#include "silverreach/request_rules.h"
+#include "gateway/interface.h"
+#include "gateway/request_rules.h"
 
-namespace silverreach {
+namespace gateway::decision {
 
 class RuleGuard {
   public:
@@ -69,4 +69,4 @@
     Violations violations_;
 };
 
-}  // namespace silverreach
+}  // namespace gateway::decision
--- a/src/benchlink/base64.cpp
+++ b/src/benchlink/base64.cpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <cstdint>
 
-namespace silverreach::benchlink {
+namespace gateway::simulator {
 namespace {
 constexpr std::string_view alphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
@@ -45,4 +45,4 @@
     return out;
 }
 
-}  // namespace silverreach::benchlink
+}  // namespace gateway::simulator
--- a/src/benchlink/base64.h
+++ b/src/benchlink/base64.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <string_view>
 
-namespace silverreach::benchlink {
+namespace gateway::simulator {
 
 void append_base64(std::string& out, std::string_view bytes);
 // Nothing where the text is not padded base64.
 std::optional<std::string> from_base64(std::string_view text);
 
-}  // namespace silverreach::benchlink
+}  // namespace gateway::simulator
--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -9,12 +9,13 @@
 #include <vector>
 
 #include "base64.h"
+#include "gateway/interface.h"
 #include "json/settings.h"
-#include "silverreach/interface.h"
 
-namespace silverreach::benchlink {
+namespace gateway::simulator {
 namespace {
-using namespace silverreach::json;
+using namespace decision;
+using namespace gateway::json;
 
 constexpr std::size_t lists_on_the_wire = 16;
 
@@ -335,4 +336,4 @@
     reply.append("]\n");
 }
 
-}  // namespace silverreach::benchlink
+}  // namespace gateway::simulator
--- a/src/benchlink/link.h
+++ b/src/benchlink/link.h
@@ -5,7 +5,7 @@
 #include <stdexcept>
 #include <string>
 
-namespace silverreach::benchlink {
+namespace gateway::simulator {
 
 // What is malformed, with the number of the line and what was expected there.
 struct WireError : std::runtime_error {
@@ -24,4 +24,4 @@
     std::unique_ptr<State> state_;
 };
 
-}  // namespace silverreach::benchlink
+}  // namespace gateway::simulator
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -9,7 +9,7 @@
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
     try {
-        silverreach::benchlink::Link link;
+        gateway::simulator::Link link;
         std::string line, out;
         while (std::getline(std::cin, line)) {
             if (!link.take_line(line, out)) continue;
@@ -18,7 +18,7 @@
             out.clear();
         }
     } catch (const std::exception& error) {
-        std::cerr << "silverreach_benchlink: " << error.what() << '\n';
+        std::cerr << "simulator_adapter: " << error.what() << '\n';
         return 2;
     }
     return 0;
--- a/src/control.cpp
+++ b/src/control.cpp
@@ -1,4 +1,4 @@
-// Every decision of the gateway and every tuned constant. Types, events and actions: silverreach/interface.h
+// Every decision of the gateway and every tuned constant. Types, events and actions: gateway/interface.h
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -10,13 +10,13 @@
 #include <unordered_map>
 #include <utility>
 
+#include "gateway/interface.h"
 #include "host_index.h"
 #include "peer_message.h"
 #include "records.h"
-#include "silverreach/interface.h"
 #include "state_bytes.h"
 
-namespace silverreach {
+namespace gateway::decision {
 namespace {
 using namespace std::chrono_literals;
 using Actions = std::vector<Action>;
@@ -1288,4 +1288,4 @@
     impl_->handle(now, event, actions);
 }
 
-}  // namespace silverreach
+}  // namespace gateway::decision
--- a/src/host_index.h
+++ b/src/host_index.h
@@ -11,7 +11,7 @@
 
 #include "records.h"
 
-namespace silverreach {
+namespace gateway::decision {
 
 // By the host's place, then by its name. Neither changes while the host is in an index.
 struct ByPlace {
@@ -115,4 +115,4 @@
     std::set<Host*, ByTime> awaited_;  // usable ones that are still cold
 };
 
-}  // namespace silverreach
+}  // namespace gateway::decision
--- a/src/json/fields.h
+++ b/src/json/fields.h
@@ -10,9 +10,9 @@
 #include <string>
 #include <string_view>
 
-#include "silverreach/interface.h"
+#include "gateway/interface.h"
 
-namespace silverreach::json {
+namespace gateway::json {
 using simdjson::dom::array;
 using simdjson::dom::element;
 using simdjson::dom::object;
@@ -84,8 +84,8 @@
 inline void read(object o, std::string_view key, bool& into) {
     if (auto e = optional_key(o, key)) into = as_bool(*e, key);
 }
-inline void read(object o, std::string_view key, Micros& into) {
-    if (auto e = optional_key(o, key)) into = Micros(as_integer(*e, key));
+inline void read(object o, std::string_view key, decision::Micros& into) {
+    if (auto e = optional_key(o, key)) into = decision::Micros(as_integer(*e, key));
 }
 
-}  // namespace silverreach::json
+}  // namespace gateway::json
--- a/src/json/settings.cpp
+++ b/src/json/settings.cpp
@@ -1,7 +1,8 @@
 #include "settings.h"
 
-namespace silverreach::json {
+namespace gateway::json {
 namespace {
+using namespace decision;
 RequestClass read_class(object o) {
     RequestClass c;
     c.name = as_text(required(o, "name"), "name");
@@ -40,7 +41,7 @@
 }
 }  // namespace
 
-Settings read_settings(object o) {
+decision::Settings read_settings(object o) {
     Settings s;
     s.rank = static_cast<int>(as_integer(required(o, "rank"), "rank"));
     s.instances = static_cast<int>(as_integer(required(o, "instances"), "instances"));
@@ -82,4 +83,4 @@
     return s;
 }
 
-}  // namespace silverreach::json
+}  // namespace gateway::json
--- a/src/json/settings.h
+++ b/src/json/settings.h
@@ -4,9 +4,9 @@
 
 #include "fields.h"
 
-namespace silverreach::json {
+namespace gateway::json {
 
 // Throws BadValue. Unknown keys are ignored, absent optional ones keep their default.
-Settings read_settings(object o);
+decision::Settings read_settings(object o);
 
-}  // namespace silverreach::json
+}  // namespace gateway::json
--- a/src/names.cpp
+++ b/src/names.cpp
@@ -1,7 +1,7 @@
 // The names of the interface's causes and outcomes, as they stand in logs and metrics.
-#include "silverreach/interface.h"
+#include "gateway/interface.h"
 
-namespace silverreach {
+namespace gateway::decision {
 
 const char* name_of(AttemptCause cause) {
     switch (cause) {
@@ -67,4 +67,4 @@
     return "unknown";
 }
 
-}  // namespace silverreach
+}  // namespace gateway::decision
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -9,7 +9,7 @@
 
 namespace spartrack {
 namespace {
-namespace json = silverreach::json;
+namespace json = gateway::json;
 using boost::asio::ip::tcp;
 using boost::asio::ip::udp;
 
--- a/src/node/config.h
+++ b/src/node/config.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "silverreach/interface.h"
+#include "gateway/interface.h"
 #include "targets.h"
 
 namespace spartrack {
@@ -31,7 +31,7 @@
     // Without a watch and a call for so long, four times that after a failed call, changes count as told; 0:
     // not set.
     std::chrono::microseconds ask_within{0};
-    silverreach::Settings settings;
+    gateway::decision::Settings settings;
     // Of the settings, what concerns connections only.
     std::chrono::microseconds connect_timeout{std::chrono::milliseconds(250)};
     std::chrono::microseconds idle_limit{std::chrono::seconds(30)};
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -186,10 +186,10 @@
     TargetList list;
     try {
         simdjson::dom::parser parser;
-        silverreach::json::object root;
+        gateway::json::object root;
         if (parser.parse(body).get(root) != simdjson::SUCCESS) return ask_anew("answers no JSON");
         list = read_targets(root);
-    } catch (const silverreach::json::BadValue& error) {
+    } catch (const gateway::json::BadValue& error) {
         return ask_anew(error.what());
     }
     failing_ = false;
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -23,7 +23,7 @@
 }
 }  // namespace
 
-std::string Metrics::text(const silverreach::RuleGuard::Violations& violations) const {
+std::string Metrics::text(const gateway::decision::RuleGuard::Violations& violations) const {
     std::string text;
     add(text, "spartrack_requests_total", requests_);
     add(text, "spartrack_requests_rejected_total", rejected_);
@@ -37,9 +37,9 @@
     add_all(text, "spartrack_client_connections_closed_total", "cause", client_closes_);
     add_all(text, "spartrack_host_connections_closed_total", "cause", host_closes_);
     add_type(text, "spartrack_sends_held_back_total");
-    for (std::size_t verdict = 1; verdict < silverreach::send_verdicts; ++verdict)
+    for (std::size_t verdict = 1; verdict < gateway::decision::send_verdicts; ++verdict)
         add_row(text, "spartrack_sends_held_back_total", "verdict",
-                silverreach::name_of(static_cast<silverreach::SendVerdict>(verdict)),
+                gateway::decision::name_of(static_cast<gateway::decision::SendVerdict>(verdict)),
                 violations.sends[verdict]);
     add(text, "spartrack_refusals_held_back_total", violations.refusals);
     add(text, "spartrack_late_answers_total", violations.late_answers);
--- a/src/node/metrics.h
+++ b/src/node/metrics.h
@@ -7,8 +7,8 @@
 #include <string>
 
 #include "causes.h"
-#include "silverreach/interface.h"
-#include "silverreach/rule_guard.h"
+#include "gateway/interface.h"
+#include "gateway/rule_guard.h"
 
 namespace spartrack {
 
@@ -17,15 +17,17 @@
     void request_received() { ++requests_; }
     void request_rejected() { ++rejected_; }
     void answered(unsigned status) { ++answers_[status]; }
-    void refused(silverreach::EndCause cause) { ++refusals_[silverreach::name_of(cause)]; }
-    void failed(silverreach::EndCause cause) { ++failures_[silverreach::name_of(cause)]; }
-    void attempt_begun(silverreach::AttemptCause cause) { ++attempts_begun_[silverreach::name_of(cause)]; }
+    void refused(gateway::decision::EndCause cause) { ++refusals_[gateway::decision::name_of(cause)]; }
+    void failed(gateway::decision::EndCause cause) { ++failures_[gateway::decision::name_of(cause)]; }
+    void attempt_begun(gateway::decision::AttemptCause cause) {
+        ++attempts_begun_[gateway::decision::name_of(cause)];
+    }
     void attempt_ended(HostOutcome outcome) { ++attempts_ended_[name_of(outcome)]; }
     void client_closed(ClientClose cause) { ++client_closes_[name_of(cause)]; }
     void host_closed(HostClose cause) { ++host_closes_[name_of(cause)]; }
 
     // In the text format of Prometheus.
-    std::string text(const silverreach::RuleGuard::Violations& violations) const;
+    std::string text(const gateway::decision::RuleGuard::Violations& violations) const;
 
   private:
     using CountByName = std::map<std::string, std::uint64_t, std::less<>>;
--- a/src/node/request_check.cpp
+++ b/src/node/request_check.cpp
@@ -24,13 +24,13 @@
 }
 }  // namespace
 
-RequestCheck::RequestCheck(const silverreach::Settings& settings)
+RequestCheck::RequestCheck(const gateway::decision::Settings& settings)
     : instances_(settings.instances),
       most_units_(settings.most_units > 0 ? settings.most_units : std::numeric_limits<double>::max()) {
     for (std::size_t i = 0; i < settings.classes.size(); ++i) {
         const auto& c = settings.classes[i];
         classes_.emplace(c.name,
-                         Class{static_cast<int>(i), c.effect == silverreach::Effect::safe, c.deadline});
+                         Class{static_cast<int>(i), c.effect == gateway::decision::Effect::safe, c.deadline});
     }
     for (std::size_t i = 0; i < settings.plans.size(); ++i)
         plans_.emplace(settings.plans[i].name, static_cast<int>(i));
--- a/src/node/request_check.h
+++ b/src/node/request_check.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <unordered_map>
 
+#include "gateway/interface.h"
 #include "http.h"
-#include "silverreach/interface.h"
 
 namespace spartrack {
 
@@ -29,7 +29,7 @@
 // that can't be right: what is not sure here never reaches the module.
 class RequestCheck {
   public:
-    explicit RequestCheck(const silverreach::Settings& settings);
+    explicit RequestCheck(const gateway::decision::Settings& settings);
     Complaint read(const Request& message, RequestFacts& into) const;
 
   private:
--- a/src/node/runtime.cpp
+++ b/src/node/runtime.cpp
@@ -13,7 +13,7 @@
 #include "log.h"
 
 namespace spartrack {
-namespace sr = silverreach;
+namespace decision = gateway::decision;
 using boost::system::error_code;
 using namespace std::chrono_literals;
 
@@ -49,33 +49,33 @@
     return text;
 }
 
-sr::Outcome outcome_of(HostOutcome outcome) {
+decision::Outcome outcome_of(HostOutcome outcome) {
     switch (outcome) {
         case HostOutcome::served:
-            return sr::Outcome::good;
+            return decision::Outcome::good;
         case HostOutcome::error:
-            return sr::Outcome::error;
+            return decision::Outcome::error;
         case HostOutcome::full:
-            return sr::Outcome::full;
+            return decision::Outcome::full;
         case HostOutcome::connect_failed:
-            return sr::Outcome::connect_failed;
+            return decision::Outcome::connect_failed;
         case HostOutcome::reset:
-            return sr::Outcome::reset;
+            return decision::Outcome::reset;
         case HostOutcome::timeout:
-            return sr::Outcome::timeout;
+            return decision::Outcome::timeout;
         case HostOutcome::cancelled:
-            return sr::Outcome::cancelled;
+            return decision::Outcome::cancelled;
         case HostOutcome::withdrawn:
         case HostOutcome::not_begun:
-            return sr::Outcome::moot;
+            return decision::Outcome::moot;
     }
-    return sr::Outcome::error;
+    return decision::Outcome::error;
 }
 
-sr::HostState state_of(TargetState state) {
-    return state == TargetState::ready      ? sr::HostState::up
-           : state == TargetState::draining ? sr::HostState::draining
-                                            : sr::HostState::gone;
+decision::HostState state_of(TargetState state) {
+    return state == TargetState::ready      ? decision::HostState::up
+           : state == TargetState::draining ? decision::HostState::draining
+                                            : decision::HostState::gone;
 }
 
 const char* name_of(TargetState state) {
@@ -116,8 +116,8 @@
 }
 }  // namespace
 
-sr::LoadReport read_load_report(std::string_view text) {
-    sr::LoadReport report;
+decision::LoadReport read_load_report(std::string_view text) {
+    decision::LoadReport report;
     while (!text.empty()) {
         std::string_view part = text.substr(0, text.find(','));
         text.remove_prefix(std::min(text.size(), part.size() + 1));
@@ -222,9 +222,9 @@
 void Runtime::serve(Upgrade::Left&& left) {
     if (left.sockets_kept > 0) budget_.set_most(sockets_ - std::min(left.sockets_kept, sockets_ / 2));
     for (const HandoverMessage& fact : left.facts) told(fact);
-    if (!left.state.empty()) feed(sr::StateLeft{std::move(left.state)});
+    if (!left.state.empty()) feed(decision::StateLeft{std::move(left.state)});
     const auto on_message = [this](int from, std::string_view bytes) {
-        feed(sr::MessageArrived{from, std::string(bytes)});
+        feed(decision::MessageArrived{from, std::string(bytes)});
     };
     if (config_.peer_listen && settings_.may_message)
         peers_ = bound("peer_listen", [&] {
@@ -254,7 +254,7 @@
 // All at once: in between nothing is heard, so that no request is decided on by both processes.
 void Runtime::leave(HandoverChannel& next) {
     using Kind = HandoverMessage::Kind;
-    feed(sr::HandedOver{true});
+    feed(decision::HandedOver{true});
     next.send(Kind::listener, {}, clients_->share_listener());
     if (peers_) {
         peers_->listen(false);
@@ -277,11 +277,11 @@
     budget_.set_most(kept);
     std::string().swap(left_state_);
 }
-void Runtime::carry_out(sr::LeaveState& action) { left_state_ = std::move(action.bytes); }
+void Runtime::carry_out(decision::LeaveState& action) { left_state_ = std::move(action.bytes); }
 // Also while this process is draining: nobody else serves what comes meanwhile.
 void Runtime::take_back() {
     budget_.set_most(sockets_);
-    feed(sr::HandedOver{false});
+    feed(decision::HandedOver{false});
     if (peers_) peers_->listen(true);
     clients_->take_back();
 }
@@ -312,12 +312,12 @@
 // ---- events in, actions out ----
 
 // The module is never called from within its own actions: what they bring about at once waits its turn.
-void Runtime::feed(sr::Event&& event) {
+void Runtime::feed(decision::Event&& event) {
     events_.push_back(std::move(event));
     if (!handling_) handle_all();
 }
 template <class Consequence>
-void Runtime::feed_before(sr::Event&& event, Consequence consequence) {
+void Runtime::feed_before(decision::Event&& event, Consequence consequence) {
     events_.push_back(std::move(event));
     const bool within = std::exchange(handling_, true);
     consequence();
@@ -327,24 +327,24 @@
 void Runtime::handle_all() {
     handling_ = true;
     while (!events_.empty()) {
-        const sr::Event event = std::move(events_.front());
+        const decision::Event event = std::move(events_.front());
         events_.pop_front();
         actions_.clear();
         gateway_.handle(clock_.now(), event, actions_);
-        for (sr::Action& action : actions_) std::visit([this](auto& a) { carry_out(a); }, action);
+        for (decision::Action& action : actions_) std::visit([this](auto& a) { carry_out(a); }, action);
     }
     handling_ = false;
     arm();
 }
 
-void Runtime::carry_out(sr::SendAttempt& action) {
+void Runtime::carry_out(decision::SendAttempt& action) {
     const auto it = live_.find(action.id);
     if (it == live_.end()) return;
     Live& live = it->second;
     const int attempt = live.attempts++;
     const Micros now = clock_.now(), left = live.deadline - now;
-    const sr::SendVerdict verdict = guard_.begin_attempt(action.id, attempt, action.host, now);
-    LogLine(verdict == sr::SendVerdict::allowed ? LogLevel::debug : LogLevel::warning, "attempt")
+    const decision::SendVerdict verdict = guard_.begin_attempt(action.id, attempt, action.host, now);
+    LogLine(verdict == decision::SendVerdict::allowed ? LogLevel::debug : LogLevel::warning, "attempt")
         .with("request", action.id)
         .with("trace", live.trace)
         .with("attempt", attempt)
@@ -352,23 +352,24 @@
         .with("host", action.host)
         .with("left", left)
         .with("verdict", name_of(verdict));
-    if (verdict != sr::SendVerdict::allowed) return end_unsent(action, attempt, live.answered);
+    if (verdict != decision::SendVerdict::allowed) return end_unsent(action, attempt, live.answered);
     metrics_.attempt_begun(action.cause);
     ++live.out;
     pool_->attempt({action.id, attempt}, action.host, live.message,
                    action.within > 0us ? std::min(action.within, left) : left);
 }
-void Runtime::end_unsent(const sr::SendAttempt& action, int attempt, bool answered) {
-    feed(sr::AttemptEnded{action.id, attempt, action.host, sr::Outcome::moot, 0us, answered, 0, {}});
+void Runtime::end_unsent(const decision::SendAttempt& action, int attempt, bool answered) {
+    feed(decision::AttemptEnded{
+        action.id, attempt, action.host, decision::Outcome::moot, 0us, answered, 0, {}});
 }
-void Runtime::carry_out(sr::Refuse& action) {
+void Runtime::carry_out(decision::Refuse& action) {
     const auto it = live_.find(action.id);
     if (it == live_.end() || it->second.answered) return;
     if (!guard_.may_refuse(action.id)) {
         LogLine(LogLevel::error, "refusal_held_back")
             .with("request", action.id)
             .with("trace", it->second.trace);
-        sr::Fail fail{action.id, action.cause};
+        decision::Fail fail{action.id, action.cause};
         return carry_out(fail);
     }
     LogLine(LogLevel::debug, "refused")
@@ -387,7 +388,7 @@
     }
     finish(it, std::move(answer));
 }
-void Runtime::carry_out(sr::Fail& action) {
+void Runtime::carry_out(decision::Fail& action) {
     const auto it = live_.find(action.id);
     if (it == live_.end() || it->second.answered) return;
     LogLine(LogLevel::debug, "failed")
@@ -397,17 +398,17 @@
     metrics_.failed(action.cause);
     finish(it, make_answer(http::status::gateway_timeout));
 }
-void Runtime::carry_out(sr::CancelAttempt& action) {
+void Runtime::carry_out(decision::CancelAttempt& action) {
     LogLine(LogLevel::debug, "attempt_cancelled").with("request", action.id).with("attempt", action.attempt);
     pool_->cancel({action.id, action.attempt});
 }
-void Runtime::carry_out(sr::ProbeHost& action) { pool_->probe(action.host); }
-void Runtime::carry_out(sr::SetTimer& action) {
+void Runtime::carry_out(decision::ProbeHost& action) { pool_->probe(action.host); }
+void Runtime::carry_out(decision::SetTimer& action) {
     // On the grid of the tick, as in the simulator: timers that fall close together cost one wake-up.
     const Micros tick = std::max(settings_.tick, 1us), when = clock_.now() + std::max(action.from_now, 1us);
     waits_.push({(when / tick + 1) * tick, action.token, false});
 }
-void Runtime::carry_out(sr::SendMessage& action) {
+void Runtime::carry_out(decision::SendMessage& action) {
     if (peers_) peers_->send(action.to, action.bytes);
 }
 
@@ -461,7 +462,7 @@
             .with("cause", complaint.text);
         return clients_->reject(request.id, make_answer(complaint.status, complaint.text + '\n'));
     }
-    sr::RequestArrived event;
+    decision::RequestArrived event;
     event.id = request.id;
     event.customer = std::move(facts.customer);
     event.plan = facts.plan;
@@ -496,7 +497,7 @@
     if (it->second.answered) return;
     LogLine(LogLevel::debug, "client_left").with("request", id).with("trace", it->second.trace);
     guard_.client_left(id);
-    feed_before(sr::ClientLeft{id}, [&] { close(it); });
+    feed_before(decision::ClientLeft{id}, [&] { close(it); });
 }
 
 // A connection that this side closes with a request in hand leaves that without an answer.
@@ -536,7 +537,7 @@
             clients_->end_answer(key.request, std::move(result.answer.body()));
         else clients_->break_answer(key.request);
     }
-    sr::AttemptEnded event{
+    decision::AttemptEnded event{
         key.request, key.attempt, uid, outcome_of(result.outcome), result.took, live.answered || serves,
         0,           {}};
     if (!result.load_report.empty()) event.report = read_load_report(result.load_report);
@@ -554,13 +555,13 @@
     LogLine(LogLevel::debug, "answer_begun").with("request", key.request).with("trace", it->second.trace);
     metrics_.answered(result.answer.result_int());
     guard_.answered(key.request, clock_.now());
-    feed_before(sr::AnswerBegun{key.request, uid}, [&] { close(it); });
+    feed_before(decision::AnswerBegun{key.request, uid}, [&] { close(it); });
     clients_->begin_answer(key.request, std::move(result.answer));
     return true;
 }
 
 void Runtime::on_probe(const std::string& uid, HostResult&& result) {
-    sr::ProbeEnded event{uid, outcome_of(result.outcome), result.took, {}};
+    decision::ProbeEnded event{uid, outcome_of(result.outcome), result.took, {}};
     if (result.outcome == HostOutcome::served)
         event.report =
             read_load_report(result.load_report.empty() ? result.answer.body() : result.load_report);
@@ -569,7 +570,7 @@
 
 void Runtime::on_list(const TargetList& list) {
     if (!list.whole && list.targets.empty()) return;  // a watch that ended with no news
-    sr::HostsChanged event;
+    decision::HostsChanged event;
     event.whole_list = list.whole;
     if (list.whole) ready_hosts_.clear();
     std::unordered_set<std::string_view> named;
@@ -620,7 +621,7 @@
 }
 // The module hears of it first, as of a change of the list.
 void Runtime::ban(const std::string& uid, bool banned) {
-    const sr::HostBanned event{uid, banned};
+    const decision::HostBanned event{uid, banned};
     LogLine(LogLevel::info, banned ? "host_taken_out" : "host_put_back").with("host", uid);
     guard_.host_banned(event);
     feed_before(event, [&] { pool_->ban(uid, banned); });
@@ -644,7 +645,7 @@
         const Wait due = waits_.top();
         waits_.pop();
         if (!due.backstop) {
-            feed(sr::TimerFired{due.token});
+            feed(decision::TimerFired{due.token});
             continue;
         }
         // The module answers before this; a request that it has lost all the same must not hang.
@@ -660,7 +661,7 @@
 void Runtime::give_up(LiveAt live) {
     const std::uint64_t id = live->first;
     finish(live, make_answer(http::status::gateway_timeout));
-    feed(sr::ClientLeft{id});
+    feed(decision::ClientLeft{id});
 }
 
 // ---- the end ----
@@ -679,7 +680,7 @@
     LogLine(LogLevel::info, "draining").with("requests", static_cast<std::int64_t>(live_.size()));
     clients_->drain();
     Micros longest{0};
-    for (const sr::RequestClass& c : settings_.classes) longest = std::max(longest, c.deadline);
+    for (const decision::RequestClass& c : settings_.classes) longest = std::max(longest, c.deadline);
     drain_until_ = clock_.now() + accept_after_term + std::min(longest, longest_wait) - before_kill;
     drain_timer_.expires_after(accept_after_term);
     drain_timer_.async_wait([this](error_code stopped) {
--- a/src/node/runtime.h
+++ b/src/node/runtime.h
@@ -18,14 +18,14 @@
 #include "clock.h"
 #include "config.h"
 #include "discovery.h"
+#include "gateway/interface.h"
+#include "gateway/rule_guard.h"
 #include "host_pool.h"
 #include "known_names.h"
 #include "metrics.h"
 #include "mgmt_door.h"
 #include "peer_link.h"
 #include "request_check.h"
-#include "silverreach/interface.h"
-#include "silverreach/rule_guard.h"
 #include "socket_budget.h"
 #include "upgrade.h"
 
@@ -66,18 +66,18 @@
         bool operator>(const Wait& other) const { return when > other.when; }
     };
 
-    void feed(silverreach::Event&& event);
+    void feed(gateway::decision::Event&& event);
     // The module hears of the event before it hears of what `consequence` ends.
     template <class Consequence>
-    void feed_before(silverreach::Event&& event, Consequence consequence);
+    void feed_before(gateway::decision::Event&& event, Consequence consequence);
     void handle_all();
-    void carry_out(silverreach::SendAttempt& action);
-    void carry_out(silverreach::Refuse& action);
-    void carry_out(silverreach::Fail& action);
-    void carry_out(silverreach::CancelAttempt& action);
-    void carry_out(silverreach::ProbeHost& action);
-    void carry_out(silverreach::SetTimer& action);
-    void carry_out(silverreach::SendMessage& action);
+    void carry_out(gateway::decision::SendAttempt& action);
+    void carry_out(gateway::decision::Refuse& action);
+    void carry_out(gateway::decision::Fail& action);
+    void carry_out(gateway::decision::CancelAttempt& action);
+    void carry_out(gateway::decision::ProbeHost& action);
+    void carry_out(gateway::decision::SetTimer& action);
+    void carry_out(gateway::decision::SendMessage& action);
 
     void on_request(ClientRequest&& request);
     void on_left(std::uint64_t id);
@@ -94,13 +94,13 @@
     void adopt(HandoverMessage&& connection);
     void told(const HandoverMessage& fact);
     void first_told();
-    void carry_out(silverreach::LeaveState& action);
+    void carry_out(gateway::decision::LeaveState& action);
     void ban(const std::string& uid, bool banned);
     using LiveAt = std::unordered_map<std::uint64_t, Live>::iterator;
     void finish(LiveAt live, Answer&& answer);
     void close(LiveAt live);
     void drop_if_over(std::uint64_t id);
-    void end_unsent(const silverreach::SendAttempt& action, int attempt, bool answered);
+    void end_unsent(const gateway::decision::SendAttempt& action, int attempt, bool answered);
     void on_client_closed(ClientClose cause, std::uint64_t request);
     HostPool::Callbacks pool_callbacks();
     ClientServer::Callbacks client_callbacks();
@@ -115,13 +115,13 @@
     const std::size_t sockets_;  // of the budget, when no other process has a part of it
     Config config_;
     Clock clock_;
-    silverreach::Settings settings_;
-    silverreach::Gateway gateway_;
-    silverreach::RuleGuard guard_;
+    gateway::decision::Settings settings_;
+    gateway::decision::Gateway gateway_;
+    gateway::decision::RuleGuard guard_;
     Metrics metrics_;
     RequestCheck check_;
-    std::deque<silverreach::Event> events_;
-    std::vector<silverreach::Action> actions_;
+    std::deque<gateway::decision::Event> events_;
+    std::vector<gateway::decision::Action> actions_;
     bool handling_ = false;
     std::unordered_map<std::uint64_t, Live> live_;
     std::unordered_set<std::string_view> open_ids_;  // of the requests in live_
@@ -143,6 +143,6 @@
 };
 
 // "TEXT outstanding=7, backlog=2, utilization=0.61" to the module's report; what can't be read is left out.
-silverreach::LoadReport read_load_report(std::string_view text);
+gateway::decision::LoadReport read_load_report(std::string_view text);
 
 }  // namespace spartrack
--- a/src/node/targets.cpp
+++ b/src/node/targets.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 
 namespace spartrack {
-namespace json = silverreach::json;
+namespace json = gateway::json;
 
 template <class Endpoint>
 Endpoint read_endpoint(std::string_view text, std::string_view what) {
--- a/src/node/targets.h
+++ b/src/node/targets.h
@@ -28,10 +28,10 @@
     std::vector<Target> targets;
 };
 
-// Throws silverreach::json::BadValue.
-TargetList read_targets(silverreach::json::object o);
+// Throws gateway::json::BadValue.
+TargetList read_targets(gateway::json::object o);
 
-// "127.0.0.1:8080" to its parts; `what` names the value in the error. Throws silverreach::json::BadValue.
+// "127.0.0.1:8080" to its parts; `what` names the value in the error. Throws gateway::json::BadValue.
 template <class Endpoint>
 Endpoint read_endpoint(std::string_view text, std::string_view what);
 
--- a/src/peer_message.cpp
+++ b/src/peer_message.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace silverreach {
+namespace gateway::decision {
 namespace {
 constexpr std::uint32_t format_mark = 0xA8, request_mark = 1, grant_mark = 2, slot_request_mark = 3,
                         slot_grant_mark = 4;
@@ -137,4 +137,4 @@
     return messages;
 }
 
-}  // namespace silverreach
+}  // namespace gateway::decision
--- a/src/peer_message.h
+++ b/src/peer_message.h
@@ -9,7 +9,7 @@
 #include <variant>
 #include <vector>
 
-namespace silverreach {
+namespace gateway::decision {
 
 // A gateway asks a customer's home for a lease on units of the quota, and of the ceiling's common share.
 struct LeaseRequest {
@@ -53,4 +53,4 @@
 // Nothing for bytes that no gateway of this version packs.
 std::optional<std::vector<PeerMessage>> unpack(std::string_view bytes);
 
-}  // namespace silverreach
+}  // namespace gateway::decision
--- a/src/records.h
+++ b/src/records.h
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
-#include "silverreach/interface.h"
-#include "silverreach/request_rules.h"
+#include "gateway/interface.h"
+#include "gateway/request_rules.h"
 
-namespace silverreach {
+namespace gateway::decision {
 
 inline double seconds(Micros t) { return static_cast<double>(t.count()) / 1e6; }
 inline Micros micros(double s) { return Micros(static_cast<std::int64_t>(std::clamp(s, 0.0, 4e3) * 1e6)); }
@@ -98,4 +98,4 @@
     std::string last_host;
 };
 
-}  // namespace silverreach
+}  // namespace gateway::decision
--- a/src/request_rules.cpp
+++ b/src/request_rules.cpp
@@ -1,8 +1,8 @@
-#include "silverreach/request_rules.h"
+#include "gateway/request_rules.h"
 
 #include <algorithm>
 
-namespace silverreach {
+namespace gateway::decision {
 
 bool proves_never_ran(Outcome outcome) {
     return outcome == Outcome::full || outcome == Outcome::connect_failed || outcome == Outcome::moot;
@@ -81,4 +81,4 @@
            history.out() == 0;
 }
 
-}  // namespace silverreach
+}  // namespace gateway::decision
--- a/src/rule_guard.cpp
+++ b/src/rule_guard.cpp
@@ -1,6 +1,6 @@
-#include "silverreach/rule_guard.h"
+#include "gateway/rule_guard.h"
 
-namespace silverreach {
+namespace gateway::decision {
 namespace {
 // An answer is lost from then on; before, it only earns nothing.
 constexpr Micros lost_after = std::chrono::milliseconds(500);
@@ -76,4 +76,4 @@
     if (const auto request = requests_.find(id); request != requests_.end()) request->second.over = true;
 }
 
-}  // namespace silverreach
+}  // namespace gateway::decision
--- a/src/state_bytes.h
+++ b/src/state_bytes.h
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-namespace silverreach {
+namespace gateway::decision {
 
 template <class T>
 concept KeyedTable = requires {
@@ -125,4 +125,4 @@
     std::chrono::microseconds moved_by_{0};
 };
 
-}  // namespace silverreach
+}  // namespace gateway::decision
--- a/tests/benchlink_test.cpp
+++ b/tests/benchlink_test.cpp
@@ -3,7 +3,7 @@
 #include "base64.h"
 #include "link.h"
 
-using namespace silverreach::benchlink;
+using namespace gateway::simulator;
 
 namespace {
 const std::string config =
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -5,10 +5,10 @@
 #include <map>
 #include <random>
 
+#include "gateway/interface.h"
 #include "peer_message.h"
-#include "silverreach/interface.h"
 
-using namespace silverreach;
+using namespace gateway::decision;
 using namespace std::chrono_literals;
 
 namespace {
--- a/tests/host_list_test.cpp
+++ b/tests/host_list_test.cpp
@@ -5,10 +5,10 @@
 #include <map>
 #include <random>
 
+#include "gateway/interface.h"
 #include "host_index.h"
-#include "silverreach/interface.h"
 
-namespace silverreach {
+namespace gateway::decision {
 namespace {
 using namespace std::chrono_literals;
 
@@ -193,4 +193,4 @@
 }
 
 }  // namespace
-}  // namespace silverreach
+}  // namespace gateway::decision
--- a/tests/package/main.cpp
+++ b/tests/package/main.cpp
@@ -1,9 +1,9 @@
-#include <silverreach/interface.h>
+#include <gateway/interface.h>
 
 #include <cstdio>
 
 int main() {
-    using namespace silverreach;
+    using namespace gateway::decision;
     using namespace std::chrono_literals;
     Settings settings;
     settings.classes = {{"read", Effect::safe, RepeatScope::all, 800ms, 2s}};
--- a/tests/peer_message_test.cpp
+++ b/tests/peer_message_test.cpp
@@ -4,7 +4,7 @@
 
 #include <random>
 
-using namespace silverreach;
+using namespace gateway::decision;
 
 TEST(PeerMessage, GoesAndComesBack) {
     const LeaseRequest ask{77, 0xFFFFFFFF, 3, 512, 511, 1.01, 2, 0.5};
--- a/tests/request_rules_test.cpp
+++ b/tests/request_rules_test.cpp
@@ -1,11 +1,11 @@
 // The rules on one request, and the guard that asks them before anything is carried out.
-#include "silverreach/request_rules.h"
+#include "gateway/request_rules.h"
 
 #include <gtest/gtest.h>
 
-#include "silverreach/rule_guard.h"
+#include "gateway/rule_guard.h"
 
-namespace silverreach {
+namespace gateway::decision {
 namespace {
 using namespace std::chrono_literals;
 
@@ -110,4 +110,4 @@
 }
 
 }  // namespace
-}  // namespace silverreach
+}  // namespace gateway::decision
