--- a/src/benchlink/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -3,16 +3,16 @@
 #include <iostream>
 #include <string>
 
-#include "link.h"
+#include "simulator_wire.h"
 
 int main() {
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
     try {
-        gateway::simulator::Link link;
+        gateway::simulator::SimulatorWire wire;
         std::string line, out;
         while (std::getline(std::cin, line)) {
-            if (!link.take_line(line, out)) continue;
+            if (!wire.take_line(line, out)) continue;
             std::fwrite(out.data(), 1, out.size(), stdout);
             std::fflush(stdout);
             out.clear();
--- a/src/benchlink/link.cpp
+++ b/src/simulator_adapter/simulator_wire.cpp
@@ -1,4 +1,4 @@
-#include "link.h"
+#include "simulator_wire.h"
 
 #include <array>
 #include <charconv>
@@ -74,7 +74,7 @@
 }
 }  // namespace
 
-struct Link::State {
+struct SimulatorWire::State {
     simdjson::dom::parser parser;
     std::uint64_t lines = 0;
     Micros now{0};
@@ -104,10 +104,10 @@
     }
 };
 
-Link::Link() : state_(std::make_unique<State>()) {}
-Link::~Link() = default;
+SimulatorWire::SimulatorWire() : state_(std::make_unique<State>()) {}
+SimulatorWire::~SimulatorWire() = default;
 
-bool Link::take_line(std::string& line, std::string& out) {
+bool SimulatorWire::take_line(std::string& line, std::string& out) {
     ++state_->lines;
     try {
         return state_->line(line, out);
@@ -118,7 +118,7 @@
     }
 }
 
-bool Link::State::line(std::string& text, std::string& out) {
+bool SimulatorWire::State::line(std::string& text, std::string& out) {
     if (text.find_first_not_of(" \t\r") == std::string::npos) return false;
     text.reserve(text.size() + simdjson::SIMDJSON_PADDING);
     element root;
@@ -156,7 +156,7 @@
     return false;
 }
 
-void Link::State::attach(const Fields& f) {
+void SimulatorWire::State::attach(const Fields& f) {
     const std::int64_t number = as_integer(f.get(0, "gatewayId"), "gatewayId");
     if (number < 0) bad("gatewayId", "a number not below 0");
     const Settings settings = read_settings(as_object(f.get(2, "config"), "config"));
@@ -168,7 +168,7 @@
     instances.insert_or_assign(number, std::move(instance));
 }
 
-void Link::State::directory(const Fields& f) {
+void SimulatorWire::State::directory(const Fields& f) {
     const std::int64_t slot = as_integer(f.get(0, "slot"), "slot");
     if (slot < 0 || slot >= static_cast<std::int64_t>(lists.size()))
         bad("slot", "a list number from 0 to 15");
@@ -194,7 +194,7 @@
     lists[static_cast<std::size_t>(slot)] = std::move(entries);
 }
 
-void Link::State::event(std::string_view name, const Fields& f) {
+void SimulatorWire::State::event(std::string_view name, const Fields& f) {
     if (name == "Attach") return attach(f);
     if (name == "Directory") return directory(f);
     enum class Kind { sync, request, returned, destroy, gone, peer, ping, timer };
@@ -281,13 +281,13 @@
     }
 }
 
-void Link::State::feed(std::int64_t number, Instance& instance, const Event& event) {
+void SimulatorWire::State::feed(std::int64_t number, Instance& instance, const Event& event) {
     actions.clear();
     instance.gateway.handle(now, event, actions);
     for (const Action& action : actions) write(number, action);
 }
 
-void Link::State::write(std::int64_t number, const Action& action) {
+void SimulatorWire::State::write(std::int64_t number, const Action& action) {
     struct Writer {
         State& s;
         std::int64_t number;
--- a/src/benchlink/link.h
+++ b/src/simulator_adapter/simulator_wire.h
@@ -12,10 +12,10 @@
     using std::runtime_error::runtime_error;
 };
 
-class Link {
+class SimulatorWire {
   public:
-    Link();
-    ~Link();
+    SimulatorWire();
+    ~SimulatorWire();
     // Takes one line of input. At the end of a batch appends the whole reply to `out` and returns true.
     bool take_line(std::string& line, std::string& out);
 
--- a/tests/benchlink_test.cpp
+++ b/tests/simulator_wire_test.cpp
@@ -1,7 +1,8 @@
+#include "simulator_wire.h"
+
 #include <gtest/gtest.h>
 
 #include "base64.h"
-#include "link.h"
 
 using namespace gateway::simulator;
 
@@ -12,15 +13,15 @@
     R"("tiersOfService":[{"name":"basic","rate":1,"mostAtOnce":2}],"unknownKey":[1,{"a":2}]})";
 
 // Feeds lines, returns everything replied.
-std::string feed(Link& link, std::initializer_list<std::string> lines) {
+std::string feed(SimulatorWire& wire, std::initializer_list<std::string> lines) {
     std::string out;
-    for (std::string line : lines) link.take_line(line, out);
+    for (std::string line : lines) wire.take_line(line, out);
     return out;
 }
 std::string error_of(std::initializer_list<std::string> lines) {
-    Link link;
+    SimulatorWire wire;
     try {
-        feed(link, lines);
+        feed(wire, lines);
     } catch (const WireError& error) {
         return error.what();
     }
@@ -32,27 +33,27 @@
 const std::string request = R"(["NewRequest",0,7,1,0,1500000,"key:a",0,"basic","read",1])";
 }  // namespace
 
-TEST(Benchlink, EmptyBatch) {
-    Link link;
-    EXPECT_EQ(feed(link, {R"(["Turn",5])", R"(["EofBatch"])"}), "[\"End\"]\n");
+TEST(SimulatorWire, EmptyBatch) {
+    SimulatorWire wire;
+    EXPECT_EQ(feed(wire, {R"(["Turn",5])", R"(["EofBatch"])"}), "[\"End\"]\n");
 }
 
-TEST(Benchlink, SendsARequestAndSkipsWhatItDoesNotKnow) {
-    Link link;
+TEST(SimulatorWire, SendsARequestAndSkipsWhatItDoesNotKnow) {
+    SimulatorWire wire;
     const std::string out =
-        feed(link, {R"(["Turn",5])", attach(), hosts, sync_line, R"(["Novelty",0,{"x":1}])",
+        feed(wire, {R"(["Turn",5])", attach(), hosts, sync_line, R"(["Novelty",0,{"x":1}])",
                     R"(["TallyBack",0,"x","GOOD",1,2])", request, R"(["EofBatch"])"});
     EXPECT_NE(out.find(R"(["Send",0,7,"h:1",1500000])"), std::string::npos) << out;
     EXPECT_EQ(out.substr(out.size() - 8), "[\"End\"]\n");
 }
 
-TEST(Benchlink, NothingComesFromADestroyedInstance) {
-    Link link;
-    feed(link, {R"(["Turn",5])", attach(), hosts, sync_line, R"(["EofBatch"])"});
-    EXPECT_EQ(feed(link, {R"(["Turn",6])", R"(["Destroy",0])", request, R"(["EofBatch"])"}), "[\"End\"]\n");
+TEST(SimulatorWire, NothingComesFromADestroyedInstance) {
+    SimulatorWire wire;
+    feed(wire, {R"(["Turn",5])", attach(), hosts, sync_line, R"(["EofBatch"])"});
+    EXPECT_EQ(feed(wire, {R"(["Turn",6])", R"(["Destroy",0])", request, R"(["EofBatch"])"}), "[\"End\"]\n");
 }
 
-TEST(Benchlink, MalformedInputIsNamedByLine) {
+TEST(SimulatorWire, MalformedInputIsNamedByLine) {
     EXPECT_NE(
         error_of({R"(["Turn",5])", "{nonsense"}).find("line 2: malformed line: expected one JSON array"),
         std::string::npos);
@@ -71,7 +72,7 @@
     EXPECT_NE(error_of({R"(["Turn",5])", R"(["Turn",4])"}).find("does not go back"), std::string::npos);
 }
 
-TEST(Benchlink, Base64) {
+TEST(SimulatorWire, Base64) {
     for (const std::string text : {"", "a", "ab", "abc", "abcd"}) {
         std::string coded;
         append_base64(coded, text);
