--- a/src/node/byte_budget.h
+++ b/src/server/byte_budget.h
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <utility>
 
-namespace spartrack {
+namespace gateway::server {
 
 // Guards against clients that together send more than the memory limit holds: a body's room is asked for
 // before it is read, and a request that finds none is turned away.
@@ -46,4 +46,4 @@
     std::size_t most_, held_ = 0;
 };
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/causes.cpp
+++ b/src/server/causes.cpp
@@ -1,6 +1,6 @@
 #include "causes.h"
 
-namespace spartrack {
+namespace gateway::server {
 
 const char* name_of(HostOutcome outcome) {
     switch (outcome) {
@@ -74,4 +74,4 @@
     return "unknown";
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/causes.h
+++ b/src/server/causes.h
@@ -1,7 +1,7 @@
 // What became of exchanges and connections, and why: as the log and the metrics tell it.
 #pragma once
 
-namespace spartrack {
+namespace gateway::server {
 
 // What became of an attempt or a probe.
 enum class HostOutcome {
@@ -47,4 +47,4 @@
 };
 const char* name_of(ClientClose cause);
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/client_server.cpp
+++ b/src/server/client_server.cpp
@@ -15,7 +15,7 @@
 #include "shared_address.h"
 #include "socket_write.h"
 
-namespace spartrack {
+namespace gateway::server {
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using boost::system::error_code;
@@ -747,4 +747,4 @@
     });
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/client_server.h
+++ b/src/server/client_server.h
@@ -20,7 +20,7 @@
 #include "http.h"
 #include "socket_budget.h"
 
-namespace spartrack {
+namespace gateway::server {
 
 struct ClientRequest {
     std::uint64_t id = 0;  // never used again
@@ -121,4 +121,4 @@
     bool open_ = false, accepting_ = false, starved_ = false, draining_ = false, standby_ = false;
 };
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/clock.h
+++ b/src/server/clock.h
@@ -3,7 +3,7 @@
 
 #include <chrono>
 
-namespace spartrack {
+namespace gateway::server {
 
 using Steady = std::chrono::steady_clock;
 using Micros = std::chrono::microseconds;
@@ -22,4 +22,4 @@
     Micros anchor_ = std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
 };
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/config.cpp
+++ b/src/server/config.cpp
@@ -7,9 +7,9 @@
 
 #include "json/settings.h"
 
-namespace spartrack {
+namespace gateway::server {
 namespace {
-namespace json = gateway::json;
+
 using boost::asio::ip::tcp;
 using boost::asio::ip::udp;
 
@@ -116,4 +116,4 @@
     }
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/config.h
+++ b/src/server/config.h
@@ -14,7 +14,7 @@
 #include "gateway/interface.h"
 #include "targets.h"
 
-namespace spartrack {
+namespace gateway::server {
 
 struct Config {
     std::string name;
@@ -31,7 +31,7 @@
     // Without a watch and a call for so long, four times that after a failed call, changes count as told; 0:
     // not set.
     std::chrono::microseconds ask_within{0};
-    gateway::decision::Settings settings;
+    decision::Settings settings;
     // Of the settings, what concerns connections only.
     std::chrono::microseconds connect_timeout{std::chrono::milliseconds(250)};
     std::chrono::microseconds idle_limit{std::chrono::seconds(30)};
@@ -58,4 +58,4 @@
 // The same of a text, for tests.
 Config parse_config(const std::string& text, const Environment& environment);
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/config_reloader.cpp
+++ b/src/server/config_reloader.cpp
@@ -5,7 +5,7 @@
 
 #include "log.h"
 
-namespace spartrack {
+namespace gateway::server {
 namespace {
 using Steady = std::chrono::steady_clock;
 using namespace std::chrono_literals;
@@ -49,4 +49,4 @@
     });
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/config_reloader.h
+++ b/src/server/config_reloader.h
@@ -9,7 +9,7 @@
 
 #include "config.h"
 
-namespace spartrack {
+namespace gateway::server {
 
 // A file that can't be read or is half written at the signal is read again for some seconds: what it is to
 // say counts from the signal on. After that the gateway goes on with what it has.
@@ -29,4 +29,4 @@
     std::chrono::steady_clock::time_point give_up_;
 };
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/containment.h
+++ b/src/server/containment.h
@@ -5,7 +5,7 @@
 
 #include "log.h"
 
-namespace spartrack {
+namespace gateway::server {
 
 // Runs `step` of one connection. What it throws (a bound of a buffer, memory that is short) ends that
 // connection alone: `abandon` is called, with no further step.
@@ -19,4 +19,4 @@
     }
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/discovery.cpp
+++ b/src/server/discovery.cpp
@@ -5,7 +5,7 @@
 #include "log.h"
 #include "socket_write.h"
 
-namespace spartrack {
+namespace gateway::server {
 namespace beast = boost::beast;
 using boost::system::error_code;
 using namespace std::chrono_literals;
@@ -227,4 +227,4 @@
     });
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/discovery.h
+++ b/src/server/discovery.h
@@ -16,7 +16,7 @@
 #include "http.h"
 #include "targets.h"
 
-namespace spartrack {
+namespace gateway::server {
 
 // How long a watch is held, how long beyond that an answer may take, and how long after a failure the next
 // call waits. Answers that do not come and failures in a row double the latter two, up to `patience_most` and
@@ -84,4 +84,4 @@
     std::size_t generation_ = 0;  // of the connection, so that handlers of a former one are told apart
 };
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/handover.cpp
+++ b/src/server/handover.cpp
@@ -14,7 +14,7 @@
 
 #include "log.h"
 
-namespace spartrack {
+namespace gateway::server {
 namespace asio = boost::asio;
 using boost::system::error_code;
 using namespace std::chrono_literals;
@@ -201,4 +201,4 @@
     });
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/handover.h
+++ b/src/server/handover.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <utility>
 
-namespace spartrack {
+namespace gateway::server {
 
 // A file descriptor that ends with its holder.
 class Descriptor {
@@ -103,4 +103,4 @@
     std::function<void(std::shared_ptr<HandoverChannel>)> on_comer_;
 };
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -11,7 +11,7 @@
 #include "log.h"
 #include "socket_write.h"
 
-namespace spartrack {
+namespace gateway::server {
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using boost::system::error_code;
@@ -596,4 +596,4 @@
     });
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/host_pool.h
+++ b/src/server/host_pool.h
@@ -19,7 +19,7 @@
 #include "socket_budget.h"
 #include "targets.h"
 
-namespace spartrack {
+namespace gateway::server {
 
 struct HostResult {
     HostOutcome outcome = HostOutcome::error;
@@ -99,4 +99,4 @@
     boost::asio::steady_timer sweep_timer_;
 };
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/http.h
+++ b/src/server/http.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-namespace spartrack {
+namespace gateway::server {
 namespace http = boost::beast::http;
 
 using Request = http::request<http::string_body>;
@@ -120,4 +120,4 @@
     return answer;
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/known_names.h
+++ b/src/server/known_names.h
@@ -12,7 +12,7 @@
 
 #include "clock.h"
 
-namespace spartrack {
+namespace gateway::server {
 
 // A host that is gone is remembered for a while, as operators may call for one that the list has just
 // dropped; names of all that ever came would add up without an end.
@@ -65,4 +65,4 @@
     std::deque<std::pair<Steady::time_point, std::string>> oldest_first_;
 };
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/log.cpp
+++ b/src/server/log.cpp
@@ -9,7 +9,7 @@
 #include <cstdio>
 #include <memory>
 
-namespace spartrack {
+namespace gateway::server {
 namespace {
 using Steady = std::chrono::steady_clock;
 
@@ -54,7 +54,7 @@
 };
 
 struct Log {
-    Log() : logger("spartrack", std::make_shared<spdlog::sinks::stderr_sink_st>()) {
+    Log() : logger("api_gateway", std::make_shared<spdlog::sinks::stderr_sink_st>()) {
         // The wall clock may be stepped: the monotonic one stands beside it in each line.
         logger.set_pattern("%Y-%m-%dT%H:%M:%S.%eZ level=%l %v", spdlog::pattern_time_type::utc);
         logger.set_level(spdlog::level::info);
@@ -124,4 +124,4 @@
     return *this;
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/log.h
+++ b/src/server/log.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-namespace spartrack {
+namespace gateway::server {
 
 enum class LogLevel { debug, info, warning, error, off };
 
@@ -44,4 +44,4 @@
     std::string text_;
 };
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/main.cpp
+++ b/src/server/main.cpp
@@ -1,4 +1,4 @@
-// spartrack, one api gateway: start, signals, exit status.
+// api_gateway, one api gateway: start, signals, exit status.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -28,23 +28,23 @@
     std::signal(SIGPIPE, SIG_IGN);
     std::signal(SIGHUP, SIG_IGN);  // until the configuration has been read anyway
     const auto environment = [](const char* name) -> const char* { return std::getenv(name); };
-    spartrack::set_log_level(environment("SPARTRACK_LOG"));
+    gateway::server::set_log_level(environment("SPARTRACK_LOG"));
     try {
-        const spartrack::Config config = spartrack::load_config_at_start(environment);
+        const gateway::server::Config config = gateway::server::load_config_at_start(environment);
         const std::size_t sockets = socket_limit(config.sockets);
-        spartrack::SocketBudget budget(sockets > 2 * set_aside ? sockets - set_aside : set_aside);
+        gateway::server::SocketBudget budget(sockets > 2 * set_aside ? sockets - set_aside : set_aside);
         boost::asio::io_context io(BOOST_ASIO_CONCURRENCY_HINT_UNSAFE);  // one thread: no locks
         boost::asio::signal_set signals(io, SIGTERM, SIGINT);
-        spartrack::Runtime runtime(io, budget, config);
+        gateway::server::Runtime runtime(io, budget, config);
         // A new configuration moves the watch to the discovery it names.
-        spartrack::ConfigReloader reloader(io, environment,
-                                           [&](const spartrack::Config& fresh) { runtime.reload(fresh); });
+        gateway::server::ConfigReloader reloader(
+            io, environment, [&](const gateway::server::Config& fresh) { runtime.reload(fresh); });
         signals.async_wait([&](const boost::system::error_code& ec, int) {
             if (!ec) runtime.drain([&io] { io.stop(); });
         });
         io.run();
     } catch (const std::exception& error) {
-        std::fprintf(stderr, "spartrack: %s\n", error.what());
+        std::fprintf(stderr, "api_gateway: %s\n", error.what());
         return 1;
     }
     return 0;
--- a/src/node/metrics.h
+++ b/src/server/metrics.h
@@ -10,24 +10,22 @@
 #include "gateway/interface.h"
 #include "gateway/rule_guard.h"
 
-namespace spartrack {
+namespace gateway::server {
 
 class Metrics {
   public:
     void request_received() { ++requests_; }
     void request_rejected() { ++rejected_; }
     void answered(unsigned status) { ++answers_[status]; }
-    void refused(gateway::decision::EndCause cause) { ++refusals_[gateway::decision::name_of(cause)]; }
-    void failed(gateway::decision::EndCause cause) { ++failures_[gateway::decision::name_of(cause)]; }
-    void attempt_begun(gateway::decision::AttemptCause cause) {
-        ++attempts_begun_[gateway::decision::name_of(cause)];
-    }
+    void refused(decision::EndCause cause) { ++refusals_[decision::name_of(cause)]; }
+    void failed(decision::EndCause cause) { ++failures_[decision::name_of(cause)]; }
+    void attempt_begun(decision::AttemptCause cause) { ++attempts_begun_[decision::name_of(cause)]; }
     void attempt_ended(HostOutcome outcome) { ++attempts_ended_[name_of(outcome)]; }
     void client_closed(ClientClose cause) { ++client_closes_[name_of(cause)]; }
     void host_closed(HostClose cause) { ++host_closes_[name_of(cause)]; }
 
     // In the text format of Prometheus.
-    std::string text(const gateway::decision::RuleGuard::Violations& violations) const;
+    std::string text(const decision::RuleGuard::Violations& violations) const;
 
   private:
     using CountByName = std::map<std::string, std::uint64_t, std::less<>>;
@@ -37,4 +35,4 @@
     CountByName refusals_, failures_, attempts_begun_, attempts_ended_, client_closes_, host_closes_;
 };
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/mgmt_door.cpp
+++ b/src/server/mgmt_door.cpp
@@ -7,7 +7,7 @@
 #include "log.h"
 #include "socket_write.h"
 
-namespace spartrack {
+namespace gateway::server {
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using boost::system::error_code;
@@ -178,4 +178,4 @@
     return on_call_(call);
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/mgmt_door.h
+++ b/src/server/mgmt_door.h
@@ -11,7 +11,7 @@
 
 #include "http.h"
 
-namespace spartrack {
+namespace gateway::server {
 
 struct MgmtCall {
     enum class Kind { status, ban, put_back, stand_by, activate };
@@ -50,4 +50,4 @@
     Callers callers_;  // the one that came first in front
 };
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/peer_link.cpp
+++ b/src/server/peer_link.cpp
@@ -4,7 +4,7 @@
 
 #include "shared_address.h"
 
-namespace spartrack {
+namespace gateway::server {
 namespace {
 // Another process may be given the address as well: one that finds this one silent binds by itself.
 int bound_to(const PeerLink::Endpoint& listen) {
@@ -76,4 +76,4 @@
     });
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/peer_link.h
+++ b/src/server/peer_link.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-namespace spartrack {
+namespace gateway::server {
 
 class PeerLink {
   public:
@@ -46,4 +46,4 @@
     std::array<char, most_bytes + 1> buffer_{};  // one more than a message may have, to tell a longer one
 };
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/request_check.cpp
+++ b/src/server/request_check.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <limits>
 
-namespace spartrack {
+namespace gateway::server {
 namespace {
 constexpr std::size_t most_id = 128;                 // ids have 16 digits; open ones are kept
 constexpr std::uint64_t most_customer = 1ull << 33;  // customers are numbers below this
@@ -24,13 +24,12 @@
 }
 }  // namespace
 
-RequestCheck::RequestCheck(const gateway::decision::Settings& settings)
+RequestCheck::RequestCheck(const decision::Settings& settings)
     : instances_(settings.instances),
       most_units_(settings.most_units > 0 ? settings.most_units : std::numeric_limits<double>::max()) {
     for (std::size_t i = 0; i < settings.classes.size(); ++i) {
         const auto& c = settings.classes[i];
-        classes_.emplace(c.name,
-                         Class{static_cast<int>(i), c.effect == gateway::decision::Effect::safe, c.deadline});
+        classes_.emplace(c.name, Class{static_cast<int>(i), c.effect == decision::Effect::safe, c.deadline});
     }
     for (std::size_t i = 0; i < settings.plans.size(); ++i)
         plans_.emplace(settings.plans[i].name, static_cast<int>(i));
@@ -118,4 +117,4 @@
     return {};
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/request_check.h
+++ b/src/server/request_check.h
@@ -8,7 +8,7 @@
 #include "gateway/interface.h"
 #include "http.h"
 
-namespace spartrack {
+namespace gateway::server {
 
 // A request's own headers, read and held against the settings.
 struct RequestFacts {
@@ -29,7 +29,7 @@
 // that can't be right: what is not sure here never reaches the module.
 class RequestCheck {
   public:
-    explicit RequestCheck(const gateway::decision::Settings& settings);
+    explicit RequestCheck(const decision::Settings& settings);
     Complaint read(const Request& message, RequestFacts& into) const;
 
   private:
@@ -46,4 +46,4 @@
     double most_units_;
 };
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -12,8 +12,8 @@
 
 #include "log.h"
 
-namespace spartrack {
-namespace decision = gateway::decision;
+namespace gateway::server {
+
 using boost::system::error_code;
 using namespace std::chrono_literals;
 
@@ -711,4 +711,4 @@
     });
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/runtime.h
+++ b/src/server/runtime.h
@@ -29,7 +29,7 @@
 #include "socket_budget.h"
 #include "upgrade.h"
 
-namespace spartrack {
+namespace gateway::server {
 
 class Runtime {
   public:
@@ -66,18 +66,18 @@
         bool operator>(const Wait& other) const { return when > other.when; }
     };
 
-    void feed(gateway::decision::Event&& event);
+    void feed(decision::Event&& event);
     // The module hears of the event before it hears of what `consequence` ends.
     template <class Consequence>
-    void feed_before(gateway::decision::Event&& event, Consequence consequence);
+    void feed_before(decision::Event&& event, Consequence consequence);
     void handle_all();
-    void carry_out(gateway::decision::SendAttempt& action);
-    void carry_out(gateway::decision::Refuse& action);
-    void carry_out(gateway::decision::Fail& action);
-    void carry_out(gateway::decision::CancelAttempt& action);
-    void carry_out(gateway::decision::ProbeHost& action);
-    void carry_out(gateway::decision::SetTimer& action);
-    void carry_out(gateway::decision::SendMessage& action);
+    void carry_out(decision::SendAttempt& action);
+    void carry_out(decision::Refuse& action);
+    void carry_out(decision::Fail& action);
+    void carry_out(decision::CancelAttempt& action);
+    void carry_out(decision::ProbeHost& action);
+    void carry_out(decision::SetTimer& action);
+    void carry_out(decision::SendMessage& action);
 
     void on_request(ClientRequest&& request);
     void on_left(std::uint64_t id);
@@ -94,13 +94,13 @@
     void adopt(HandoverMessage&& connection);
     void told(const HandoverMessage& fact);
     void first_told();
-    void carry_out(gateway::decision::LeaveState& action);
+    void carry_out(decision::LeaveState& action);
     void ban(const std::string& uid, bool banned);
     using LiveAt = std::unordered_map<std::uint64_t, Live>::iterator;
     void finish(LiveAt live, Answer&& answer);
     void close(LiveAt live);
     void drop_if_over(std::uint64_t id);
-    void end_unsent(const gateway::decision::SendAttempt& action, int attempt, bool answered);
+    void end_unsent(const decision::SendAttempt& action, int attempt, bool answered);
     void on_client_closed(ClientClose cause, std::uint64_t request);
     HostPool::Callbacks pool_callbacks();
     ClientServer::Callbacks client_callbacks();
@@ -115,13 +115,13 @@
     const std::size_t sockets_;  // of the budget, when no other process has a part of it
     Config config_;
     Clock clock_;
-    gateway::decision::Settings settings_;
-    gateway::decision::Gateway gateway_;
-    gateway::decision::RuleGuard guard_;
+    decision::Settings settings_;
+    decision::Gateway gateway_;
+    decision::RuleGuard guard_;
     Metrics metrics_;
     RequestCheck check_;
-    std::deque<gateway::decision::Event> events_;
-    std::vector<gateway::decision::Action> actions_;
+    std::deque<decision::Event> events_;
+    std::vector<decision::Action> actions_;
     bool handling_ = false;
     std::unordered_map<std::uint64_t, Live> live_;
     std::unordered_set<std::string_view> open_ids_;  // of the requests in live_
@@ -143,6 +143,6 @@
 };
 
 // "TEXT outstanding=7, backlog=2, utilization=0.61" to the module's report; what can't be read is left out.
-gateway::decision::LoadReport read_load_report(std::string_view text);
+decision::LoadReport read_load_report(std::string_view text);
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/shared_address.h
+++ b/src/server/shared_address.h
@@ -5,6 +5,6 @@
 
 #include <boost/asio/detail/socket_option.hpp>
 
-namespace spartrack {
+namespace gateway::server {
 using reuse_port = boost::asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/socket_budget.h
+++ b/src/server/socket_budget.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-namespace spartrack {
+namespace gateway::server {
 
 // Guards against running out of descriptors: who wants a socket asks here first, and where none is left, idle
 // connections are closed for it. Neither side can take all, so that clients cannot starve the way to the
@@ -76,4 +76,4 @@
     std::function<void()> freed_;
 };
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/socket_write.h
+++ b/src/server/socket_write.h
@@ -7,7 +7,7 @@
 #include <cstddef>
 #include <string_view>
 
-namespace spartrack {
+namespace gateway::server {
 
 // Writes as much of `bytes` as the socket takes now; returns how many bytes that was. `ec` is set where the
 // connection is broken, not where the socket is full.
@@ -29,4 +29,4 @@
     return written;
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/targets.cpp
+++ b/src/server/targets.cpp
@@ -3,8 +3,7 @@
 #include <boost/asio/ip/udp.hpp>
 #include <charconv>
 
-namespace spartrack {
-namespace json = gateway::json;
+namespace gateway::server {
 
 template <class Endpoint>
 Endpoint read_endpoint(std::string_view text, std::string_view what) {
@@ -52,4 +51,4 @@
     return list;
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/targets.h
+++ b/src/server/targets.h
@@ -8,7 +8,7 @@
 
 #include "json/fields.h"
 
-namespace spartrack {
+namespace gateway::server {
 
 enum class TargetState { ready, draining, gone };
 
@@ -35,4 +35,4 @@
 template <class Endpoint>
 Endpoint read_endpoint(std::string_view text, std::string_view what);
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/upgrade.cpp
+++ b/src/server/upgrade.cpp
@@ -4,7 +4,7 @@
 
 #include "log.h"
 
-namespace spartrack {
+namespace gateway::server {
 using boost::system::error_code;
 using Kind = HandoverMessage::Kind;
 using namespace std::chrono_literals;
@@ -151,4 +151,4 @@
     if (next_) next_->send(kind, text);
 }
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/src/node/upgrade.h
+++ b/src/server/upgrade.h
@@ -10,7 +10,7 @@
 
 #include "handover.h"
 
-namespace spartrack {
+namespace gateway::server {
 
 class Upgrade {
   public:
@@ -65,4 +65,4 @@
          next_greeted_ = false;
 };
 
-}  // namespace spartrack
+}  // namespace gateway::server
--- a/tests/node/gateway_test.cpp
+++ b/tests/server/gateway_test.cpp
@@ -2,7 +2,7 @@
 #include "loopback.h"
 #include "runtime.h"
 
-namespace spartrack::test {
+namespace gateway::server::test {
 namespace {
 
 std::string target(const std::string& uid, const std::string& address, const std::string& state = "ready") {
@@ -175,11 +175,11 @@
         return gateway().metrics().find(line) != std::string::npos;
     };
     EXPECT_TRUE(run_until(
-        io, [&] { return tells("spartrack_client_connections_closed_total{cause=\"client_left\"} 1\n"); }));
-    EXPECT_TRUE(tells("spartrack_requests_total 6\n"));
-    EXPECT_TRUE(tells("spartrack_refusals_total{cause=\"over_quota\"} 5\n")) << gateway().metrics();
-    EXPECT_TRUE(tells("spartrack_attempts_ended_total{outcome=\"served\"} 1\n")) << gateway().metrics();
-    EXPECT_TRUE(tells("spartrack_rule_violations_total 0\n"));
+        io, [&] { return tells("api_gateway_client_connections_closed_total{cause=\"client_left\"} 1\n"); }));
+    EXPECT_TRUE(tells("api_gateway_requests_total 6\n"));
+    EXPECT_TRUE(tells("api_gateway_refusals_total{cause=\"over_quota\"} 5\n")) << gateway().metrics();
+    EXPECT_TRUE(tells("api_gateway_attempts_ended_total{outcome=\"served\"} 1\n")) << gateway().metrics();
+    EXPECT_TRUE(tells("api_gateway_rule_violations_total 0\n"));
 }
 
 TEST_F(GatewayTest, HealthTellsWhetherRequestsCanBeServed) {
@@ -1030,4 +1030,4 @@
 }
 
 }  // namespace
-}  // namespace spartrack::test
+}  // namespace gateway::server::test
--- a/tests/node/host_pool_test.cpp
+++ b/tests/server/host_pool_test.cpp
@@ -4,7 +4,7 @@
 
 #include "loopback.h"
 
-namespace spartrack::test {
+namespace gateway::server::test {
 namespace {
 
 struct HostPoolTest : ::testing::Test {
@@ -388,4 +388,4 @@
 }
 
 }  // namespace
-}  // namespace spartrack::test
+}  // namespace gateway::server::test
--- a/tests/node/log_test.cpp
+++ b/tests/server/log_test.cpp
@@ -7,7 +7,7 @@
 #include <chrono>
 #include <string>
 
-namespace spartrack::test {
+namespace gateway::server::test {
 namespace {
 using namespace std::chrono_literals;
 
@@ -63,4 +63,4 @@
 }
 
 }  // namespace
-}  // namespace spartrack::test
+}  // namespace gateway::server::test
--- a/tests/node/loopback.h
+++ b/tests/server/loopback.h
@@ -14,7 +14,7 @@
 
 #include "http.h"
 
-namespace spartrack::test {
+namespace gateway::server::test {
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using boost::system::error_code;
@@ -160,4 +160,4 @@
     std::vector<tcp::socket> fillers_;
 };
 
-}  // namespace spartrack::test
+}  // namespace gateway::server::test
--- a/tests/node/mgmt_test.cpp
+++ b/tests/server/mgmt_test.cpp
@@ -2,7 +2,7 @@
 #include "loopback.h"
 #include "mgmt_door.h"
 
-namespace spartrack::test {
+namespace gateway::server::test {
 namespace {
 
 struct MgmtTest : ::testing::Test {
@@ -70,4 +70,4 @@
 }
 
 }  // namespace
-}  // namespace spartrack::test
+}  // namespace gateway::server::test
--- a/tests/node/program.h
+++ b/tests/server/program.h
@@ -12,7 +12,7 @@
 
 #include "loopback.h"
 
-namespace spartrack::test {
+namespace gateway::server::test {
 
 // The program on a configuration file of its own; ended with the test, whatever becomes of that.
 class Program {
@@ -20,11 +20,11 @@
     // `shared`: a folder for what the processes of one gateway share; empty: there is none.
     explicit Program(const std::string& config, const std::string& shared = {}) : folder_(make_folder()) {
         write(config);
-        std::string name = SPARTRACK_PROGRAM, where = "BALANCER_CONFIG=" + file().string(),
+        std::string name = API_GATEWAY_PROGRAM, where = "BALANCER_CONFIG=" + file().string(),
                     temporary = "TMPDIR=" + shared;
         char* const arguments[] = {name.data(), nullptr};
         char* const environment[] = {where.data(), temporary.data(), nullptr};
-        if (posix_spawn(&id_, SPARTRACK_PROGRAM, nullptr, nullptr, arguments, environment) != 0) id_ = -1;
+        if (posix_spawn(&id_, API_GATEWAY_PROGRAM, nullptr, nullptr, arguments, environment) != 0) id_ = -1;
     }
     Program(const Program&) = delete;
     Program& operator=(const Program&) = delete;
@@ -41,7 +41,7 @@
     int exit_status() const { return WIFEXITED(status_) ? WEXITSTATUS(status_) : -1; }
 
     static std::filesystem::path make_folder() {
-        std::string name = (std::filesystem::temp_directory_path() / "spartrack-XXXXXX").string();
+        std::string name = (std::filesystem::temp_directory_path() / "api-gateway-XXXXXX").string();
         if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder for the test");
         return name;
     }
@@ -54,4 +54,4 @@
     bool over_ = false;
 };
 
-}  // namespace spartrack::test
+}  // namespace gateway::server::test
--- a/tests/node/program_test.cpp
+++ b/tests/server/program_test.cpp
@@ -2,7 +2,7 @@
 
 #include "program.h"
 
-namespace spartrack::test {
+namespace gateway::server::test {
 namespace {
 
 std::string config(const std::string& discovery) {
@@ -63,4 +63,4 @@
 }
 
 }  // namespace
-}  // namespace spartrack::test
+}  // namespace gateway::server::test
--- a/tests/node/system_call_faults.cpp
+++ b/tests/server/system_call_faults.cpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 namespace {
-using spartrack::test::SocketCall;
+using gateway::server::test::SocketCall;
 
 bool short_writes = false;
 std::array<std::deque<int>, 3> errors_due;  // by SocketCall
@@ -85,7 +85,7 @@
     return fails(SocketCall::socket) ? -1 : real(domain, type, protocol);
 }
 
-namespace spartrack::test {
+namespace gateway::server::test {
 FailingCalls::FailingCalls(SocketCall call, std::initializer_list<int> errors) : call_(call) {
     errors_due[static_cast<std::size_t>(call)] = errors;
 }
@@ -95,4 +95,4 @@
 }
 ShortWrites::ShortWrites() { short_writes = true; }
 ShortWrites::~ShortWrites() { short_writes = false; }
-}  // namespace spartrack::test
+}  // namespace gateway::server::test
--- a/tests/node/system_call_faults.h
+++ b/tests/server/system_call_faults.h
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <initializer_list>
 
-namespace spartrack::test {
+namespace gateway::server::test {
 
 // While one exists, `send` and `sendmsg` of this process take a third of the bytes, one at least.
 class ShortWrites {
@@ -31,4 +31,4 @@
     const SocketCall call_;
 };
 
-}  // namespace spartrack::test
+}  // namespace gateway::server::test
--- a/tests/node/system_call_test.cpp
+++ b/tests/server/system_call_test.cpp
@@ -8,7 +8,7 @@
 #include "runtime.h"
 #include "system_call_faults.h"
 
-namespace spartrack::test {
+namespace gateway::server::test {
 namespace {
 
 constexpr std::size_t calls = 20;
@@ -143,4 +143,4 @@
 }
 
 }  // namespace
-}  // namespace spartrack::test
+}  // namespace gateway::server::test
--- a/tests/node/upgrade_test.cpp
+++ b/tests/server/upgrade_test.cpp
@@ -1,7 +1,7 @@
 // An upgrade: a second process on the addresses of one that serves.
 #include "program.h"
 
-namespace spartrack::test {
+namespace gateway::server::test {
 namespace {
 
 struct UpgradeTest : ::testing::Test {
@@ -223,4 +223,4 @@
 }
 
 }  // namespace
-}  // namespace spartrack::test
+}  // namespace gateway::server::test
--- a/tests/node/watch_test.cpp
+++ b/tests/server/watch_test.cpp
@@ -6,7 +6,7 @@
 #include "peer_link.h"
 #include "runtime.h"
 
-namespace spartrack::test {
+namespace gateway::server::test {
 namespace {
 
 std::string list(int rev, bool all, const std::string& state) {
@@ -366,4 +366,4 @@
 }
 
 }  // namespace
-}  // namespace spartrack::test
+}  // namespace gateway::server::test
--- a/tools/fault_soak/main.cpp
+++ b/tools/fault_soak/main.cpp
@@ -74,7 +74,7 @@
 int main(int argc, char** argv) {
     Settings settings;
     PlanShape& shape = settings.options.shape;
-    std::string program = SPARTRACK_PROGRAM, shim = FAULT_SHIM;
+    std::string program = API_GATEWAY_PROGRAM, shim = FAULT_SHIM;
     CLI::App app(
         "Plays seeded faults against real gateways on loopback, and checks the rules they have to keep");
     app.add_option("--seed", shape.seed, "the first seed")->capture_default_str();
--- a/tools/fault_soak/soak.cpp
+++ b/tools/fault_soak/soak.cpp
@@ -39,8 +39,8 @@
 // What a gateway's own check has counted. An answer half a second late is the machine's doing where that is
 // given such slack.
 std::int64_t faults_told(const std::string& metrics, Span slack) {
-    const auto all = metric(metrics, "spartrack_rule_violations_total");
-    const auto late = metric(metrics, "spartrack_late_answers_total");
+    const auto all = metric(metrics, "api_gateway_rule_violations_total");
+    const auto late = metric(metrics, "api_gateway_late_answers_total");
     if (!all || !late) return -1;
     return slack >= late_answer ? *all - *late : *all;
 }
