--- a/src/control.cpp
+++ b/src/decision/gateway.cpp
@@ -14,7 +14,7 @@
 #include "host_index.h"
 #include "peer_message.h"
 #include "records.h"
-#include "state_bytes.h"
+#include "snapshot_codec.h"
 
 namespace gateway::decision {
 namespace {
