--- a/src/server/mgmt_door.cpp
+++ b/src/server/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "mgmt_door.h"
+#include "admin_server.h"
 
 #include <array>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -31,10 +31,10 @@
 }
 }  // namespace
 
-class MgmtDoor::Caller : public std::enable_shared_from_this<Caller> {
+class AdminServer::Caller : public std::enable_shared_from_this<Caller> {
   public:
-    Caller(MgmtDoor& door, tcp::socket&& socket)
-        : door_(door), socket_(std::move(socket)), timer_(socket_.get_executor()) {
+    Caller(AdminServer& admin, tcp::socket&& socket)
+        : admin_server_(admin), socket_(std::move(socket)), timer_(socket_.get_executor()) {
         parser_.header_limit(most_call);
         parser_.body_limit(most_call);
         error_code ec;
@@ -54,7 +54,7 @@
                 return self->answer(http::status::request_header_fields_too_large);
             if (ec && ec.category() == boost::system::system_category()) return self->close();
             if (ec) return self->answer(http::status::bad_request);
-            self->answer(self->door_.hear(self->parser_.get()));
+            self->answer(self->admin_server_.hear(self->parser_.get()));
         });
     }
     bool answered() const { return answered_; }
@@ -64,7 +64,7 @@
         timer_.cancel();
         socket_.close(ec);
         const auto keep = shared_from_this();
-        door_.callers_.erase(self);
+        admin_server_.callers_.erase(self);
     }
 
   private:
@@ -110,7 +110,7 @@
                                 });
     }
 
-    MgmtDoor& door_;
+    AdminServer& admin_server_;
     tcp::socket socket_;
     asio::steady_timer timer_;
     boost::beast::flat_buffer unread_{2 * most_call};
@@ -120,22 +120,23 @@
     bool answered_ = false, closed_ = false;
 };
 
-MgmtDoor::MgmtDoor(asio::io_context& io, const tcp::endpoint& listen, OnCall on_call, OnMetrics on_metrics)
+AdminServer::AdminServer(asio::io_context& io, const tcp::endpoint& listen, OnCall on_call,
+                         OnMetrics on_metrics)
     : acceptor_(io, listen, true),
       pause_(io),
       on_call_(std::move(on_call)),
       on_metrics_(std::move(on_metrics)) {
     accept();
 }
-MgmtDoor::~MgmtDoor() {
+AdminServer::~AdminServer() {
     while (!callers_.empty()) callers_.front()->close();
 }
 
-void MgmtDoor::accept() {
+void AdminServer::accept() {
     acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
         if (ec == asio::error::operation_aborted) return;
         if (ec) {
-            LogLine(LogLevel::warning, "mgmt_accept_failed").with("error", ec.message());
+            LogLine(LogLevel::warning, "admin_accept_failed").with("error", ec.message());
             pause_.expires_after(accept_again);
             return pause_.async_wait([this](error_code stopped) {
                 if (!stopped) accept();
@@ -149,7 +150,7 @@
     });
 }
 
-Answer MgmtDoor::hear(const Request& request) const {
+Answer AdminServer::hear(const Request& request) const {
     if (request.target() != "/metrics" || !on_metrics_) return plain(carry_out(request));
     if (request.method() != http::verb::get) return plain(http::status::method_not_allowed);
     Answer answer = make_answer(http::status::ok, on_metrics_());
@@ -157,7 +158,7 @@
     return answer;
 }
 
-http::status MgmtDoor::carry_out(const Request& request) const {
+http::status AdminServer::carry_out(const Request& request) const {
     const auto target = request.target();
     const bool status = target == "/status", enter = target == "/maintenance/enter",
                exit = target == "/maintenance/exit", stand_by = target == "/standby",
@@ -165,12 +166,12 @@
     if (!status && !enter && !exit && !stand_by && !active) return http::status::not_found;
     if (request.method() != (status ? http::verb::get : http::verb::post))
         return http::status::method_not_allowed;
-    MgmtCall call;
-    call.kind = status     ? MgmtCall::Kind::status
-                : enter    ? MgmtCall::Kind::ban
-                : exit     ? MgmtCall::Kind::put_back
-                : stand_by ? MgmtCall::Kind::stand_by
-                           : MgmtCall::Kind::activate;
+    AdminCall call;
+    call.kind = status     ? AdminCall::Kind::status
+                : enter    ? AdminCall::Kind::ban
+                : exit     ? AdminCall::Kind::put_back
+                : stand_by ? AdminCall::Kind::stand_by
+                           : AdminCall::Kind::activate;
     if (enter || exit) {
         call.host = trimmed(request.body());
         if (call.host.empty()) return http::status::bad_request;
--- a/src/server/mgmt_door.h
+++ b/src/server/admin_server.h
@@ -1,4 +1,4 @@
-// The operators' door: a listener of its own, one call on a connection.
+// The admin interface for operators: a listener of its own, one call on a connection.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,7 +13,7 @@
 
 namespace gateway::server {
 
-struct MgmtCall {
+struct AdminCall {
     enum class Kind { status, ban, put_back, stand_by, activate };
     Kind kind = Kind::status;
     std::string host;  // of ban and put_back
@@ -21,17 +21,17 @@
 
 // Guards against operators that go unheard under load: its few connections are none of the clients' budget,
 // and callers that say nothing give way to those that come.
-class MgmtDoor {
+class AdminServer {
   public:
-    using OnCall = std::function<http::status(const MgmtCall&)>;
+    using OnCall = std::function<http::status(const AdminCall&)>;
     using OnMetrics = std::function<std::string()>;  // the text of /metrics
 
     // Throws boost::system::system_error where the address can't be bound.
-    MgmtDoor(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, OnCall on_call,
-             OnMetrics on_metrics = {});
-    ~MgmtDoor();
-    MgmtDoor(const MgmtDoor&) = delete;
-    MgmtDoor& operator=(const MgmtDoor&) = delete;
+    AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, OnCall on_call,
+                OnMetrics on_metrics = {});
+    ~AdminServer();
+    AdminServer(const AdminServer&) = delete;
+    AdminServer& operator=(const AdminServer&) = delete;
 
     boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
--- a/src/server/config.cpp
+++ b/src/server/config.cpp
@@ -42,10 +42,10 @@
     c.listen = read_endpoint<tcp::endpoint>(text_or(o, "listen", environment, "BALANCER_LISTEN"), "listen");
     c.discovery =
         read_endpoint<tcp::endpoint>(text_or(o, "discovery", environment, "BALANCER_DISCOVERY"), "discovery");
-    if (auto door = json::optional_key(o, "mgmt"))
-        c.mgmt = read_endpoint<tcp::endpoint>(json::as_text(*door, "mgmt"), "mgmt");
+    if (auto admin = json::optional_key(o, "mgmt"))
+        c.admin_listen = read_endpoint<tcp::endpoint>(json::as_text(*admin, "mgmt"), "mgmt");
     else if (const char* const address = environment("BALANCER_MGMT"))
-        c.mgmt = read_endpoint<tcp::endpoint>(address, "mgmt");
+        c.admin_listen = read_endpoint<tcp::endpoint>(address, "mgmt");
     if (const char* const folder = environment("TMPDIR")) c.handover_folder = folder;
     if (auto seed = json::optional_key(o, "seed")) c.seed = read_seed(*seed);
     if (auto limits = json::optional_key(o, "limits")) {
--- a/src/server/config.h
+++ b/src/server/config.h
@@ -19,7 +19,7 @@
 struct Config {
     std::string name;
     boost::asio::ip::tcp::endpoint listen, discovery;
-    std::optional<boost::asio::ip::tcp::endpoint> mgmt;  // absent: no door for operators
+    std::optional<boost::asio::ip::tcp::endpoint> admin_listen;  // absent: no admin interface
     std::optional<boost::asio::ip::udp::endpoint> peer_listen, peers_all;
     std::vector<boost::asio::ip::udp::endpoint> peers;  // by rank
     std::uint64_t seed = 0;
--- a/src/server/main.cpp
+++ b/src/server/main.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 // Descriptors that are neither clients' nor hosts': standard streams, event loop, signals, listener, peers,
-// watch, the operators' door and its callers, the same of a second process during an upgrade.
+// watch, the admin server and its callers, the same of a second process during an upgrade.
 constexpr std::size_t set_aside = 48;
 
 std::size_t socket_limit(std::size_t configured) {
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -156,10 +156,10 @@
     TargetList known = config.known;
     known.whole = true;
     on_list(known);
-    if (config.mgmt)
-        door_ = bound("mgmt", [&] {
-            return std::make_unique<MgmtDoor>(
-                io, *config.mgmt, [this](const MgmtCall& call) { return on_call(call); },
+    if (config.admin_listen)
+        admin_server_ = bound("mgmt", [&] {
+            return std::make_unique<AdminServer>(
+                io, *config.admin_listen, [this](const AdminCall& call) { return on_call(call); },
                 [this] { return metrics(); });
         });
     told_timer_.expires_after(first_word);
@@ -595,21 +595,21 @@
 
 // ---- operators ----
 
-http::status Runtime::on_call(const MgmtCall& call) {
+http::status Runtime::on_call(const AdminCall& call) {
     switch (call.kind) {
-        case MgmtCall::Kind::status:
+        case AdminCall::Kind::status:
             return ready() ? http::status::ok : http::status::service_unavailable;
-        case MgmtCall::Kind::ban:
-        case MgmtCall::Kind::put_back:
+        case AdminCall::Kind::ban:
+        case AdminCall::Kind::put_back:
             if (!known_names_.contains(call.host)) return http::status::not_found;
-            ban(call.host, call.kind == MgmtCall::Kind::ban);
-            upgrade_->tell(call.kind == MgmtCall::Kind::ban ? HandoverMessage::Kind::ban
-                                                            : HandoverMessage::Kind::put_back,
+            ban(call.host, call.kind == AdminCall::Kind::ban);
+            upgrade_->tell(call.kind == AdminCall::Kind::ban ? HandoverMessage::Kind::ban
+                                                             : HandoverMessage::Kind::put_back,
                            call.host);
             break;
-        case MgmtCall::Kind::stand_by:
-        case MgmtCall::Kind::activate:
-            stand_by(call.kind == MgmtCall::Kind::stand_by);
+        case AdminCall::Kind::stand_by:
+        case AdminCall::Kind::activate:
+            stand_by(call.kind == AdminCall::Kind::stand_by);
             upgrade_->tell(standby_ ? HandoverMessage::Kind::stand_by : HandoverMessage::Kind::activate);
             break;
     }
--- a/src/server/runtime.h
+++ b/src/server/runtime.h
@@ -14,6 +14,7 @@
 #include <unordered_set>
 #include <vector>
 
+#include "admin_server.h"
 #include "client_server.h"
 #include "clock.h"
 #include "config.h"
@@ -23,7 +24,6 @@
 #include "host_pool.h"
 #include "known_names.h"
 #include "metrics.h"
-#include "mgmt_door.h"
 #include "peer_link.h"
 #include "request_check.h"
 #include "socket_budget.h"
@@ -45,7 +45,7 @@
     bool ready() const { return clients_ && told_ && hosts_ready_; }
     const ClientServer& clients() const { return *clients_; }
     const PeerLink* peers() const { return peers_.get(); }
-    const MgmtDoor* door() const { return door_.get(); }
+    const AdminServer* admin_server() const { return admin_server_.get(); }
     std::string metrics() const { return metrics_.text(guard_.violations()); }
 
   private:
@@ -85,9 +85,9 @@
     bool on_begun(const HostPool::AttemptKey& key, const std::string& uid, HostResult&& result);
     void on_probe(const std::string& uid, HostResult&& result);
     void on_list(const TargetList& list);
-    http::status on_call(const MgmtCall& call);
+    http::status on_call(const AdminCall& call);
     void stand_by(bool on);
-    // Opens the doors, with what a former process has left.
+    // Opens the listeners, with what a former process has left.
     void serve(Upgrade::Left&& left);
     void leave(HandoverChannel& next);
     void take_back();
@@ -136,7 +136,7 @@
     std::unique_ptr<PeerLink> peers_;
     std::unique_ptr<Discovery> discovery_;
     std::unique_ptr<ClientServer> clients_;
-    std::unique_ptr<MgmtDoor> door_;
+    std::unique_ptr<AdminServer> admin_server_;
     std::unique_ptr<Upgrade> upgrade_;
     std::string left_state_;  // as the module has left it
     bool standby_ = false;
--- a/tests/server/mgmt_test.cpp
+++ b/tests/server/admin_server_test.cpp
@@ -1,19 +1,20 @@
-// The operators' door by itself: calls in every form, and callers that say nothing.
+// The admin server by itself: calls in every form, and callers that say nothing.
+#include "admin_server.h"
+
 #include "loopback.h"
-#include "mgmt_door.h"
 
 namespace gateway::server::test {
 namespace {
 
-struct MgmtTest : ::testing::Test {
+struct AdminServerTest : ::testing::Test {
     asio::io_context io;
-    std::vector<MgmtCall> calls;
-    MgmtDoor door{io, any_port(), [this](const MgmtCall& call) {
-                      calls.push_back(call);
-                      return call.host == "unknown" ? http::status::not_found : http::status::ok;
-                  }};
+    std::vector<AdminCall> calls;
+    AdminServer admin{io, any_port(), [this](const AdminCall& call) {
+                          calls.push_back(call);
+                          return call.host == "unknown" ? http::status::not_found : http::status::ok;
+                      }};
     unsigned said(const std::string& text) {
-        Client caller(io, door.local_endpoint());
+        Client caller(io, admin.local_endpoint());
         caller.say(text);
         EXPECT_TRUE(run_until(io, [&] { return caller.ended(); })) << text;
         return caller.answers().empty() ? 0u : caller.answers()[0].result_int();
@@ -24,7 +25,7 @@
     }
 };
 
-TEST_F(MgmtTest, HearsEachCallAndEndsItsConnection) {
+TEST_F(AdminServerTest, HearsEachCallAndEndsItsConnection) {
     EXPECT_EQ(said("GET /status HTTP/1.1\r\nHost: x\r\n\r\n"), 200u);
     EXPECT_EQ(said(post("/maintenance/enter", "s-1")), 200u);
     EXPECT_EQ(said("POST /maintenance/exit HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -33,15 +34,15 @@
     EXPECT_EQ(said(post("/standby")), 200u);
     EXPECT_EQ(said(post("/active")), 200u);
     ASSERT_EQ(calls.size(), 5u);
-    EXPECT_EQ(calls[1].kind, MgmtCall::Kind::ban);
+    EXPECT_EQ(calls[1].kind, AdminCall::Kind::ban);
     EXPECT_EQ(calls[1].host, "s-1");
-    EXPECT_EQ(calls[2].kind, MgmtCall::Kind::put_back);
+    EXPECT_EQ(calls[2].kind, AdminCall::Kind::put_back);
     EXPECT_EQ(calls[2].host, "s-1");
-    EXPECT_EQ(calls[3].kind, MgmtCall::Kind::stand_by);
-    EXPECT_EQ(calls[4].kind, MgmtCall::Kind::activate);
+    EXPECT_EQ(calls[3].kind, AdminCall::Kind::stand_by);
+    EXPECT_EQ(calls[4].kind, AdminCall::Kind::activate);
 }
 
-TEST_F(MgmtTest, SaysNoToWhatIsNoCall) {
+TEST_F(AdminServerTest, SaysNoToWhatIsNoCall) {
     EXPECT_EQ(said("GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n"), 404u);
     EXPECT_EQ(said("GET /standby HTTP/1.1\r\nHost: x\r\n\r\n"), 405u);
     EXPECT_EQ(said(post("/status")), 405u);
@@ -52,10 +53,10 @@
     EXPECT_EQ(said(post("/maintenance/enter", "unknown")), 404u);
 }
 
-TEST_F(MgmtTest, AnswersWithinASecondWhileOthersSayNothingOrHalf) {
+TEST_F(AdminServerTest, AnswersWithinASecondWhileOthersSayNothingOrHalf) {
     std::vector<std::unique_ptr<Client>> silent;
     for (int i = 0; i < 40; ++i) {
-        silent.push_back(std::make_unique<Client>(io, door.local_endpoint()));
+        silent.push_back(std::make_unique<Client>(io, admin.local_endpoint()));
         if (i % 2)
             silent.back()->say("POST /maintenance/enter HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\ns-");
     }
--- a/tests/server/gateway_test.cpp
+++ b/tests/server/gateway_test.cpp
@@ -803,7 +803,7 @@
         extra = R"("mgmt":"127.0.0.1:0",)";
     }
     unsigned call(const std::string& text) {
-        Client caller(io, gateway().door()->local_endpoint());
+        Client caller(io, gateway().admin_server()->local_endpoint());
         caller.say(text);
         EXPECT_TRUE(run_until(io, [&] { return caller.ended(); }));
         return caller.answers().empty() ? 0u : caller.answers()[0].result_int();
--- a/tests/server/system_call_test.cpp
+++ b/tests/server/system_call_test.cpp
@@ -1,9 +1,9 @@
 // System calls that fail for a moment or take a part only: all rules hold.
+#include "admin_server.h"
 #include "discovery.h"
 #include "handover.h"
 #include "host_pool.h"
 #include "loopback.h"
-#include "mgmt_door.h"
 #include "program.h"
 #include "runtime.h"
 #include "system_call_faults.h"
@@ -45,10 +45,10 @@
 
 TEST(ShortWrites, EachOperatorsCallIsAnswered) {
     asio::io_context io;
-    MgmtDoor door(io, any_port(), [](const MgmtCall&) { return http::status::ok; });
+    AdminServer admin(io, any_port(), [](const AdminCall&) { return http::status::ok; });
     const ShortWrites short_writes;
     for (std::size_t call = 0; call < calls; ++call) {
-        Client caller(io, door.local_endpoint());
+        Client caller(io, admin.local_endpoint());
         caller.say("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
         ASSERT_TRUE(run_until(io, [&] { return caller.ended(); }));
         ASSERT_EQ(caller.answers().size(), 1u) << call;
--- a/tests/server/upgrade_test.cpp
+++ b/tests/server/upgrade_test.cpp
@@ -21,8 +21,8 @@
             };
             p.ok(R"({"rev":1,"all":true,"targets":[)" + row("h", host) + "," + row("g", other) + "]}");
         }};
-    const std::uint16_t listen = free_port(), peers = free_port(), first_door = free_port(),
-                        next_door = free_port();
+    const std::uint16_t listen = free_port(), peers = free_port(), first_admin = free_port(),
+                        next_admin = free_port();
 
     void TearDown() override { std::filesystem::remove_all(shared); }
     static std::uint16_t free_port() {
@@ -30,9 +30,9 @@
         return tcp::acceptor(none, any_port()).local_endpoint().port();
     }
     static tcp::endpoint at(std::uint16_t port) { return {asio::ip::address_v4::loopback(), port}; }
-    std::string config(std::uint16_t door) const {
+    std::string config(std::uint16_t admin) const {
         const auto address = [](std::uint16_t port) { return "\"127.0.0.1:" + std::to_string(port) + "\""; };
-        return R"({"name":"n0","listen":)" + address(listen) + R"(,"mgmt":)" + address(door) +
+        return R"({"name":"n0","listen":)" + address(listen) + R"(,"mgmt":)" + address(admin) +
                R"(,"peer_listen":)" + address(peers) + R"(,"peers":[)" + address(peers) +
                R"(],"discovery":")" + agent.address() +
                R"(","settings":{"rank":0,"instances":1,"locality":"a","tickUs":4000,)"
@@ -43,21 +43,21 @@
                R"("ceilings":{"maxAttempts":1,"peers":true,"retryAfter":true},)"
                R"("guarantees":{"startCapacity":0.2,"coldUs":1000000,"fallUs":1000000}}})";
     }
-    unsigned call(std::uint16_t door, const std::string& text) {
+    unsigned call(std::uint16_t admin, const std::string& text) {
         asio::io_context apart;
         tcp::socket socket(apart);
         error_code ec;
-        socket.connect(at(door), ec);
+        socket.connect(at(admin), ec);
         if (ec) return 0;
         socket.close();
-        Client caller(io, at(door));
+        Client caller(io, at(admin));
         caller.say(text);
         EXPECT_TRUE(run_until(io, [&] { return caller.ended(); }));
         return caller.answers().empty() ? 0u : caller.answers()[0].result_int();
     }
-    bool serves(std::uint16_t door) {
+    bool serves(std::uint16_t admin) {
         const auto give_up = std::chrono::steady_clock::now() + 20s;
-        while (call(door, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n") != 200) {
+        while (call(admin, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n") != 200) {
             if (std::chrono::steady_clock::now() > give_up) return false;
             io.restart();
             io.run_for(20ms);
@@ -84,8 +84,8 @@
 };
 
 TEST_F(UpgradeTest, KeptConnectionsGoOnAtTheNewProcess) {
-    Program first(config(first_door), shared);
-    ASSERT_TRUE(serves(first_door));
+    Program first(config(first_admin), shared);
+    ASSERT_TRUE(serves(first_admin));
     Client kept(io, at(listen)), busy(io, at(listen)), half(io, at(listen));
     ASSERT_EQ(ask(kept, request("a")), 200u);
     // One request is in hand over the change, and one is half sent.
@@ -96,8 +96,8 @@
     on_request = [](auto& p, const auto& name) { p.ok(name); };
     const std::string text = request("c");
     half.say(text.substr(0, 40));
-    Program next(config(next_door), shared);
-    ASSERT_TRUE(serves(next_door));
+    Program next(config(next_admin), shared);
+    ASSERT_TRUE(serves(next_admin));
     first.signal(SIGTERM);
     EXPECT_EQ(ask(kept, request("d")), 200u);
     half.say(text.substr(40));
@@ -118,8 +118,8 @@
 // A process that says it takes over and ends at once: what was on its way to it comes back. The former one is
 // stopped meanwhile, so that it always finds the other's word and end together.
 TEST_F(UpgradeTest, ConnectionsOnTheirWayToAProcessThatEndsComeBack) {
-    Program first(config(first_door), shared);
-    ASSERT_TRUE(serves(first_door));
+    Program first(config(first_admin), shared);
+    ASSERT_TRUE(serves(first_admin));
     Client kept(io, at(listen)), half(io, at(listen));
     ASSERT_EQ(ask(kept, request("a")), 200u);
     const std::string text = request("b");
@@ -143,36 +143,36 @@
 }
 
 TEST_F(UpgradeTest, WhatAQuotaHasGivenIsNotGivenAgain) {
-    Program first(config(first_door), shared);
-    ASSERT_TRUE(serves(first_door));
+    Program first(config(first_admin), shared);
+    ASSERT_TRUE(serves(first_admin));
     Client client(io, at(listen));
     int served = 0, n = 0;
     while (n < 100 && ask(client, request("a" + std::to_string(n++), "basic")) == 200) ++served;
     EXPECT_GT(served, 0);
     EXPECT_LT(n, 100);
-    Program next(config(next_door), shared);
-    ASSERT_TRUE(serves(next_door));
+    Program next(config(next_admin), shared);
+    ASSERT_TRUE(serves(next_admin));
     EXPECT_EQ(ask(client, request("b", "basic")), 429u);
     EXPECT_EQ(ask(client, request("c")), 200u);
 }
 
 TEST_F(UpgradeTest, BansAndStandbyHoldAcrossIt) {
-    Program first(config(first_door), shared);
-    ASSERT_TRUE(serves(first_door));
-    ASSERT_EQ(call(first_door, post("/maintenance/enter", "h")), 200u);
-    ASSERT_EQ(call(first_door, post("/standby")), 200u);
-    Program next(config(next_door), shared);
-    ASSERT_TRUE(serves(next_door));
+    Program first(config(first_admin), shared);
+    ASSERT_TRUE(serves(first_admin));
+    ASSERT_EQ(call(first_admin, post("/maintenance/enter", "h")), 200u);
+    ASSERT_EQ(call(first_admin, post("/standby")), 200u);
+    Program next(config(next_admin), shared);
+    ASSERT_TRUE(serves(next_admin));
     for (int i = 0; i < 10; ++i) {
         Client client(io, at(listen));
         EXPECT_EQ(ask(client, request("a" + std::to_string(i))), 200u);
         EXPECT_FALSE(client.answers().at(0).keep_alive());
     }
     EXPECT_EQ(host.requests.size(), 0u);
-    // What is called for at the old door holds at the new one.
-    EXPECT_EQ(call(first_door, post("/active")), 200u);
-    EXPECT_EQ(call(first_door, post("/maintenance/exit", "h")), 200u);
-    EXPECT_EQ(call(first_door, post("/maintenance/enter", "g")), 200u);
+    // What is called for at the old admin server holds at the new one.
+    EXPECT_EQ(call(first_admin, post("/active")), 200u);
+    EXPECT_EQ(call(first_admin, post("/maintenance/exit", "h")), 200u);
+    EXPECT_EQ(call(first_admin, post("/maintenance/enter", "g")), 200u);
     first.signal(SIGTERM);
     ASSERT_TRUE(run_until(io, [&] { return first.ended(); }));
     Client client(io, at(listen));
@@ -187,34 +187,34 @@
 }
 
 TEST_F(UpgradeTest, TheOldProcessGoesOnIfTheNewOneEnds) {
-    Program first(config(first_door), shared);
-    ASSERT_TRUE(serves(first_door));
+    Program first(config(first_admin), shared);
+    ASSERT_TRUE(serves(first_admin));
     {
-        Program next(config(next_door), shared);
-        ASSERT_TRUE(serves(next_door));
+        Program next(config(next_admin), shared);
+        ASSERT_TRUE(serves(next_admin));
         next.signal(SIGKILL);
         ASSERT_TRUE(run_until(io, [&] { return next.ended(); }));
     }
     Client client(io, at(listen));
     EXPECT_EQ(ask(client, request("a")), 200u);
-    Program third(config(next_door), shared);
-    ASSERT_TRUE(serves(next_door));
+    Program third(config(next_admin), shared);
+    ASSERT_TRUE(serves(next_admin));
     EXPECT_EQ(ask(client, request("b")), 200u);
 }
 
 TEST_F(UpgradeTest, ADeadProcessesPlaceAndASilentOneDoNoHarm) {
     {
-        Program dead(config(first_door), shared);
-        ASSERT_TRUE(serves(first_door));
+        Program dead(config(first_admin), shared);
+        ASSERT_TRUE(serves(first_admin));
         dead.signal(SIGKILL);
         ASSERT_TRUE(run_until(io, [&] { return dead.ended(); }));
     }
-    Program first(config(first_door), shared);
-    ASSERT_TRUE(serves(first_door));
+    Program first(config(first_admin), shared);
+    ASSERT_TRUE(serves(first_admin));
     first.signal(SIGSTOP);
     const auto before = std::chrono::steady_clock::now();
-    Program next(config(next_door), shared);
-    EXPECT_TRUE(serves(next_door));
+    Program next(config(next_admin), shared);
+    EXPECT_TRUE(serves(next_admin));
     EXPECT_LT(std::chrono::steady_clock::now() - before, 6s);
     first.signal(SIGKILL);
     ASSERT_TRUE(run_until(io, [&] { return first.ended(); }));
--- a/tools/fault_soak/soak.cpp
+++ b/tools/fault_soak/soak.cpp
@@ -99,8 +99,8 @@
     for (int number = 0; number < options_.shape.gateways; ++number) {
         Gateway& gateway = gateways_[static_cast<std::size_t>(number)];
         gateway.listen = loopback(ports.take());
-        gateway.mgmt = loopback(ports.take());
-        gateway.next_mgmt = loopback(ports.take());
+        gateway.admin = loopback(ports.take());
+        gateway.next_admin = loopback(ports.take());
         gateway.peers = loopback(ports.take());
         gateway.folder = options_.folder / concat("gateway-", number);
         gateway.config = gateway.folder / "config.json";
@@ -115,13 +115,13 @@
     }
 }
 
-std::string Soak::config_of(const Gateway& gateway, int number, const std::string& mgmt) const {
+std::string Soak::config_of(const Gateway& gateway, int number, const std::string& admin) const {
     std::string peers;
     for (const Gateway& other : gateways_)
         peers.append(peers.empty() ? "\"" : ",\"").append(other.peers).append("\"");
     std::ostringstream text;
     text
-        << R"({"name":"n)" << number << R"(","listen":")" << gateway.listen << R"(","mgmt":")" << mgmt
+        << R"({"name":"n)" << number << R"(","listen":")" << gateway.listen << R"(","mgmt":")" << admin
         << R"(","discovery":")" << gateway.agent->address(gateway.agent_address) << R"(","seed":")"
         << std::hex << options_.shape.seed * 131 + static_cast<unsigned>(number) << std::dec
         << R"(","limits":{"cores":1.0,"memory_mb":64,"sockets":384},"peer_listen":")" << gateway.peers
@@ -146,15 +146,15 @@
     return text.str();
 }
 // Whoever reads it finds the old one or the new one, as the platform does it.
-void Soak::write_config(const Gateway& gateway, int number, const std::string& mgmt) const {
+void Soak::write_config(const Gateway& gateway, int number, const std::string& admin) const {
     const std::filesystem::path fresh = gateway.folder / "config.json.new";
-    std::ofstream(fresh) << config_of(gateway, number, mgmt);
+    std::ofstream(fresh) << config_of(gateway, number, admin);
     std::filesystem::rename(fresh, gateway.config);
 }
 
-void Soak::start_process(int number, const std::string& mgmt) {
+void Soak::start_process(int number, const std::string& admin) {
     Gateway& gateway = gateways_[static_cast<std::size_t>(number)];
-    write_config(gateway, number, mgmt);
+    write_config(gateway, number, admin);
     gateway.process = std::make_unique<GatewayProcess>(
         GatewayProcess::Files{options_.program, options_.shim, gateway.folder}, gateway.config,
         gateway.processes++, options_.shape.seed * 1009 + static_cast<unsigned>(number));
@@ -225,7 +225,7 @@
                         Clock::now());
     }
     oracle_.gateway_ended(number, Clock::now(), true);
-    start_process(number, gateway.mgmt);
+    start_process(number, gateway.admin);
     co_await await_ready(number);
 }
 
@@ -237,20 +237,20 @@
     while (!gateway.process->ended()) co_await pause(io_, look_again);
     oracle_.gateway_ended(number, Clock::now(), true);
     co_await pause(io_, down);
-    start_process(number, gateway.mgmt);
+    start_process(number, gateway.admin);
     co_await await_ready(number);
 }
 
 Task Soak::upgrade(int number) {
     Gateway& gateway = gateways_[static_cast<std::size_t>(number)];
     gateway.former = std::move(gateway.process);
-    start_process(number, gateway.next_mgmt);
+    start_process(number, gateway.next_admin);
     unsigned status = 0;
     std::string body;
     const Time give_up = Clock::now() + upgrade_most + options_.slack;
     while (status != 200 && Clock::now() < give_up && !gateway.process->ended()) {
         co_await pause(io_, health_again);
-        co_await ask(gateway.next_mgmt, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n", status, body);
+        co_await ask(gateway.next_admin, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n", status, body);
     }
     if (status != 200)
         oracle_.violate(Rule::not_ready, "", concat("upgrade of gateway ", number), Clock::now());
@@ -261,7 +261,7 @@
     else if (gateway.former->status() != 0)
         oracle_.violate(Rule::crash, "", concat("the former process of gateway ", number), Clock::now());
     gateway.former.reset();
-    std::swap(gateway.mgmt, gateway.next_mgmt);
+    std::swap(gateway.admin, gateway.next_admin);
 }
 
 Task Soak::pause_process(int number, Span length) {
@@ -275,18 +275,18 @@
 Task Soak::reload(int number) {
     Gateway& gateway = gateways_[static_cast<std::size_t>(number)];
     gateway.agent_address = 1 - gateway.agent_address;
-    write_config(gateway, number, gateway.mgmt);
+    write_config(gateway, number, gateway.admin);
     gateway.process->signal(SIGHUP);
     co_await pause(io_, agent_closes_after);
 }
 
 Task Soak::bad_file(int number, std::uint64_t chance) {
     Gateway& gateway = gateways_[static_cast<std::size_t>(number)];
-    const std::string whole = config_of(gateway, number, gateway.mgmt);
+    const std::string whole = config_of(gateway, number, gateway.admin);
     std::ofstream(gateway.config) << whole.substr(0, chance % whole.size());
     gateway.process->signal(SIGHUP);
     co_await pause(io_, Span(100));
-    write_config(gateway, number, gateway.mgmt);
+    write_config(gateway, number, gateway.admin);
 }
 
 // ---- troubles of discovery ----
@@ -398,7 +398,7 @@
         concat("POST ", path, " HTTP/1.1\r\nHost: x\r\nContent-Length: ", body.size(), "\r\n\r\n", body);
     unsigned status = 0;
     std::string text;
-    co_await ask(gateways_[static_cast<std::size_t>(number)].mgmt, request, status, text);
+    co_await ask(gateways_[static_cast<std::size_t>(number)].admin, request, status, text);
     done = status == 200;
 }
 // A restart forgets a ban: its gateway is left alone by others meanwhile.
@@ -588,7 +588,7 @@
 
 Task Soak::play() {
     for (int number = 0; number < options_.shape.gateways; ++number)
-        start_process(number, gateways_[static_cast<std::size_t>(number)].mgmt);
+        start_process(number, gateways_[static_cast<std::size_t>(number)].admin);
     for (int number = 0; number < options_.shape.gateways; ++number) co_await await_ready(number);
     origin_ = Clock::now();
     for (const auto& client : clients_) asio::co_spawn(io_, client->run(), asio::detached);
@@ -608,7 +608,7 @@
     std::string body;
     for (Gateway& gateway : gateways_) {
         if (gateway.process->ended()) continue;
-        co_await ask(gateway.mgmt, "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n", status, body);
+        co_await ask(gateway.admin, "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n", status, body);
         if (faults_told(body, options_.slack) != 0)
             oracle_.violate(Rule::own_guard, "", concat("its metrics (", status, "): ", body), Clock::now());
         gateway.process->signal(SIGTERM);
--- a/tools/fault_soak/soak.h
+++ b/tools/fault_soak/soak.h
@@ -45,7 +45,7 @@
 
   private:
     struct Gateway {
-        std::string listen, mgmt, next_mgmt, peers;
+        std::string listen, admin, next_admin, peers;
         std::filesystem::path folder, config;
         std::unique_ptr<MappedControl> control;
         std::unique_ptr<DiscoveryAgent> agent;
@@ -59,9 +59,9 @@
 
     void make_gateways();
     void fill_black_hole();
-    std::string config_of(const Gateway& gateway, int number, const std::string& mgmt) const;
-    void write_config(const Gateway& gateway, int number, const std::string& mgmt) const;
-    void start_process(int number, const std::string& mgmt);
+    std::string config_of(const Gateway& gateway, int number, const std::string& admin) const;
+    void write_config(const Gateway& gateway, int number, const std::string& admin) const;
+    void start_process(int number, const std::string& admin);
     Task await_health(int number);  // and admits clients
     Task await_ready(int number);   // after a start
     Task ask(std::string address, std::string request, unsigned& status, std::string& body);
