--- a/src/server/config.cpp
+++ b/src/server/config.cpp
@@ -66,7 +66,8 @@
     if (auto peers = json::optional_key(o, "peers"))
         for (json::element e : json::as_array(*peers, "peers"))
             c.peers.push_back(read_endpoint<udp::endpoint>(json::as_text(e, "peers[]"), "peers[]"));
-    if (auto known = json::optional_key(o, "known")) c.known = read_targets(json::as_object(*known, "known"));
+    if (auto known = json::optional_key(o, "known"))
+        c.known = read_endpoint_list(json::as_object(*known, "known"));
     const json::object settings = json::as_object(json::required(o, "settings"), "settings");
     c.settings = json::read_settings(settings);
     if (auto mode = json::optional_key(settings, "membershipMode"))
--- a/src/server/config.h
+++ b/src/server/config.h
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
+#include "endpoint_list.h"
 #include "gateway/interface.h"
-#include "targets.h"
 
 namespace gateway::server {
 
@@ -26,7 +26,7 @@
     std::string handover_folder;  // where the processes of an upgrade find each other; empty: they don't
     std::size_t sockets = 1024;   // file descriptors that the process may hold
     std::size_t memory_mb = 192;  // over which the process is killed
-    TargetList known;
+    EndpointList known;
     bool lists_pushed = true;  // else they are asked for, and that costs
     // Without a watch and a call for so long, four times that after a failed call, changes count as told; 0:
     // not set.
--- a/src/server/discovery.cpp
+++ b/src/server/discovery.cpp
@@ -183,12 +183,12 @@
 }
 
 void Discovery::take(const std::string& body) {
-    TargetList list;
+    EndpointList list;
     try {
         simdjson::dom::parser parser;
         gateway::json::object root;
         if (parser.parse(body).get(root) != simdjson::SUCCESS) return ask_anew("answers no JSON");
-        list = read_targets(root);
+        list = read_endpoint_list(root);
     } catch (const gateway::json::BadValue& error) {
         return ask_anew(error.what());
     }
--- a/src/server/discovery.h
+++ b/src/server/discovery.h
@@ -13,8 +13,8 @@
 #include <random>
 #include <string>
 
+#include "endpoint_list.h"
 #include "http.h"
-#include "targets.h"
 
 namespace gateway::server {
 
@@ -35,7 +35,7 @@
 // discovery less.
 class Discovery {
   public:
-    using OnList = std::function<void(const TargetList&)>;
+    using OnList = std::function<void(const EndpointList&)>;
     // Where lists are pushed, the agent has them at hand, answers at once and for nothing, and what it has
     // counts as told: its return from silence must be noticed within a drain's grace. Where they are asked
     // for, many gateways wear discovery out with calls that it turns away or that are given up before their
--- a/src/server/targets.h
+++ b/src/server/endpoint_list.h
@@ -10,29 +10,29 @@
 
 namespace gateway::server {
 
-enum class TargetState { ready, draining, gone };
+enum class EndpointState { ready, draining, gone };
 
-struct Target {
+struct Endpoint {
     std::string uid;
-    boost::asio::ip::tcp::endpoint endpoint;
+    boost::asio::ip::tcp::endpoint address;
     std::string zone, kind;
     std::int64_t cell = 0;
-    TargetState state = TargetState::ready;
+    EndpointState state = EndpointState::ready;
     double weight = 1;
     std::int64_t boot_ms = 0;  // Unix time; 0: long ago
 };
 
-struct TargetList {
+struct EndpointList {
     std::int64_t version = 0;
     bool whole = false;
-    std::vector<Target> targets;
+    std::vector<Endpoint> endpoints;
 };
 
 // Throws gateway::json::BadValue.
-TargetList read_targets(gateway::json::object o);
+EndpointList read_endpoint_list(gateway::json::object o);
 
 // "127.0.0.1:8080" to its parts; `what` names the value in the error. Throws gateway::json::BadValue.
-template <class Endpoint>
-Endpoint read_endpoint(std::string_view text, std::string_view what);
+template <class SocketAddress>
+SocketAddress read_endpoint(std::string_view text, std::string_view what);
 
 }  // namespace gateway::server
--- a/src/server/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -429,16 +429,16 @@
     if (callbacks_.on_closed) callbacks_.on_closed(cause);
 }
 
-void HostPool::update(const TargetList& list) {
+void HostPool::update(const EndpointList& list) {
     if (list.whole)
         for (const auto& [uid, host] : hosts_) host->listed_ready = false;
-    for (const Target& t : list.targets) {
+    for (const Endpoint& t : list.endpoints) {
         auto& host = hosts_[t.uid];
         if (!host) host = std::make_shared<Host>();
         host->uid = t.uid;
-        host->listed_ready = t.state == TargetState::ready;
+        host->listed_ready = t.state == EndpointState::ready;
         host->banned = banned_.count(t.uid) > 0;
-        if (t.state != TargetState::gone) host->endpoint = t.endpoint;
+        if (t.state != EndpointState::gone) host->endpoint = t.address;
     }
     cut_unsent();
     const auto leaves = [](const auto& host) { return !host.second->listed_ready; };
@@ -446,7 +446,7 @@
         std::erase_if(hosts_, leaves);
         return;
     }
-    for (const Target& t : list.targets)
+    for (const Endpoint& t : list.endpoints)
         if (const auto host = hosts_.find(t.uid); host != hosts_.end() && leaves(*host)) hosts_.erase(host);
 }
 
--- a/src/server/host_pool.h
+++ b/src/server/host_pool.h
@@ -14,10 +14,10 @@
 #include <vector>
 
 #include "causes.h"
+#include "endpoint_list.h"
 #include "handover.h"
 #include "http.h"
 #include "socket_budget.h"
-#include "targets.h"
 
 namespace gateway::server {
 
@@ -55,7 +55,7 @@
     HostPool& operator=(const HostPool&) = delete;
 
     // Takes in the list. What has not been written yet to a host that drains or is gone ends unsent.
-    void update(const TargetList& list);
+    void update(const EndpointList& list);
     // The same for a host that operators take out, until they put it back: the list does not lift it.
     void ban(const std::string& uid, bool banned);
     void attempt(const AttemptKey& key, const std::string& uid, Request& message,
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -72,26 +72,26 @@
     return decision::Outcome::error;
 }
 
-decision::HostState state_of(TargetState state) {
-    return state == TargetState::ready      ? decision::HostState::up
-           : state == TargetState::draining ? decision::HostState::draining
-                                            : decision::HostState::gone;
+decision::HostState state_of(EndpointState state) {
+    return state == EndpointState::ready      ? decision::HostState::up
+           : state == EndpointState::draining ? decision::HostState::draining
+                                              : decision::HostState::gone;
 }
 
-const char* name_of(TargetState state) {
-    return state == TargetState::ready ? "ready" : state == TargetState::draining ? "draining" : "gone";
+const char* name_of(EndpointState state) {
+    return state == EndpointState::ready ? "ready" : state == EndpointState::draining ? "draining" : "gone";
 }
-void log_list(const TargetList& list) {
+void log_list(const EndpointList& list) {
     LogLine(LogLevel::info, "hosts_listed")
         .with("revision", list.version)
         .with("whole", list.whole ? "yes" : "no")
-        .with("hosts", static_cast<std::int64_t>(list.targets.size()));
+        .with("hosts", static_cast<std::int64_t>(list.endpoints.size()));
     if (!logs(LogLevel::debug)) return;
-    for (const Target& target : list.targets)
+    for (const Endpoint& endpoint : list.endpoints)
         LogLine(LogLevel::debug, "host_listed")
-            .with("host", target.uid)
-            .with("state", name_of(target.state))
-            .with("boot_ms", target.boot_ms);
+            .with("host", endpoint.uid)
+            .with("state", name_of(endpoint.state))
+            .with("boot_ms", endpoint.boot_ms);
 }
 
 // Whether a socket could not be made for want of something that may be there again in a moment.
@@ -153,7 +153,7 @@
       drain_timer_(io) {
     pool_ =
         std::make_unique<HostPool>(io, budget, config.connect_timeout, config.idle_limit, pool_callbacks());
-    TargetList known = config.known;
+    EndpointList known = config.known;
     known.whole = true;
     on_list(known);
     if (config.admin_listen)
@@ -166,14 +166,14 @@
     told_timer_.async_wait([this](error_code stopped) {
         if (!stopped) first_told();
     });
-    const auto on_told = [this](const TargetList& list) {
+    const auto on_told = [this](const EndpointList& list) {
         on_list(list);
         first_told();
     };
     // Where lists are asked for, the watch begins from the known list: a call for the whole list starts none,
     // and discovery serves half as many gateways that begin with two calls each.
     std::optional<std::int64_t> known_version;
-    if (!config.lists_pushed && !known.targets.empty()) known_version = known.version;
+    if (!config.lists_pushed && !known.endpoints.empty()) known_version = known.version;
     discovery_ = std::make_unique<Discovery>(
         io, config.discovery, on_told,
         Discovery::pace_among(settings_.instances, config.lists_pushed, config.ask_within), config.seed,
@@ -568,18 +568,18 @@
     feed(std::move(event));
 }
 
-void Runtime::on_list(const TargetList& list) {
-    if (!list.whole && list.targets.empty()) return;  // a watch that ended with no news
+void Runtime::on_list(const EndpointList& list) {
+    if (!list.whole && list.endpoints.empty()) return;  // a watch that ended with no news
     decision::HostsChanged event;
     event.whole_list = list.whole;
     if (list.whole) ready_hosts_.clear();
     std::unordered_set<std::string_view> named;
-    for (const Target& t : list.targets) {
+    for (const Endpoint& t : list.endpoints) {
         named.insert(t.uid);
-        if (t.state == TargetState::ready) ready_hosts_.insert(t.uid);
+        if (t.state == EndpointState::ready) ready_hosts_.insert(t.uid);
         else ready_hosts_.erase(t.uid);
         known_names_.listed(t.uid);
-        if (t.state == TargetState::gone) known_names_.gone(t.uid, Steady::now());
+        if (t.state == EndpointState::gone) known_names_.gone(t.uid, Steady::now());
         event.entries.push_back({t.uid, t.zone, t.kind, t.cell, state_of(t.state), t.weight,
                                  std::chrono::milliseconds(t.boot_ms)});
     }
--- a/src/server/runtime.h
+++ b/src/server/runtime.h
@@ -84,7 +84,7 @@
     void on_attempt(const HostPool::AttemptKey& key, const std::string& uid, HostResult&& result);
     bool on_begun(const HostPool::AttemptKey& key, const std::string& uid, HostResult&& result);
     void on_probe(const std::string& uid, HostResult&& result);
-    void on_list(const TargetList& list);
+    void on_list(const EndpointList& list);
     http::status on_call(const AdminCall& call);
     void stand_by(bool on);
     // Opens the listeners, with what a former process has left.
--- a/tests/server/host_pool_test.cpp
+++ b/tests/server/host_pool_test.cpp
@@ -31,9 +31,10 @@
                          rest);
         return *made;
     }
-    void list(const tcp::endpoint& at, TargetState state = TargetState::ready, const std::string& uid = "h") {
-        Target t;
-        t.uid = uid, t.endpoint = at, t.state = state;
+    void list(const tcp::endpoint& at, EndpointState state = EndpointState::ready,
+              const std::string& uid = "h") {
+        Endpoint t;
+        t.uid = uid, t.address = at, t.state = state;
         pool().update({1, false, {t}});
     }
     void send(std::uint64_t id, std::chrono::microseconds within = 15s) {
@@ -88,7 +89,7 @@
                 n = host.read_some(asio::buffer(chunk), ec);
             const std::size_t head = heard.find("\r\n\r\n");
             whole = head != std::string::npos && heard.size() == head + 4 + message.body().size();
-            if (whole) list(listener.local_endpoint(), TargetState::draining);
+            if (whole) list(listener.local_endpoint(), EndpointState::draining);
         });
         io.restart();
         io.poll_one();
@@ -327,7 +328,7 @@
     list(slow.endpoint());
     send(1);
     EXPECT_TRUE(ended.empty());
-    list(slow.endpoint(), TargetState::draining);
+    list(slow.endpoint(), EndpointState::draining);
     ASSERT_EQ(ended.size(), 1u);
     EXPECT_EQ(ended[0].result.outcome, HostOutcome::connect_failed);
     send(2);
--- a/tests/server/system_call_test.cpp
+++ b/tests/server/system_call_test.cpp
@@ -38,7 +38,7 @@
     Server agent(io, [](auto& p) { p.ok(R"({"rev":1,"all":true,"targets":[]})"); });
     std::size_t lists = 0;
     const ShortWrites short_writes;
-    Discovery watch(io, agent.endpoint(), [&](const TargetList&) { ++lists; });
+    Discovery watch(io, agent.endpoint(), [&](const EndpointList&) { ++lists; });
     ASSERT_TRUE(run_until(io, [&] { return lists == calls; }));
     EXPECT_EQ(agent.peers.size(), 1u);
 }
@@ -65,9 +65,9 @@
         io, budget, 500ms, 30s,
         HostPool::Callbacks{[&](const auto&, const auto&, auto&& result) { ended.push_back(result.outcome); },
                             [](const auto&, auto&&) {}});
-    Target target;
-    target.uid = "h", target.endpoint = host.endpoint(), target.state = TargetState::ready;
-    pool.update({1, false, {target}});
+    Endpoint endpoint;
+    endpoint.uid = "h", endpoint.address = host.endpoint(), endpoint.state = EndpointState::ready;
+    pool.update({1, false, {endpoint}});
     std::uint64_t id = 0;
     const auto send = [&] {
         Request message(http::verb::get, "/api", 11);
--- a/tests/server/watch_test.cpp
+++ b/tests/server/watch_test.cpp
@@ -26,8 +26,8 @@
             answers.erase(answers.begin());
         }
     });
-    std::vector<TargetList> lists;
-    Discovery watch(io, agent.endpoint(), [&](const TargetList& l) { lists.push_back(l); });
+    std::vector<EndpointList> lists;
+    Discovery watch(io, agent.endpoint(), [&](const EndpointList& l) { lists.push_back(l); });
     ASSERT_TRUE(run_until(io, [&] { return agent.targets.size() == 4; }));
     EXPECT_EQ(agent.targets[0], "/catalog/members");
     EXPECT_EQ(agent.targets[1].substr(0, 25), "/catalog/members?from=41&");
@@ -36,15 +36,15 @@
     ASSERT_EQ(lists.size(), 3u);
     EXPECT_TRUE(lists[0].whole);
     EXPECT_FALSE(lists[1].whole);
-    const Target& t = lists[0].targets.at(0);
+    const Endpoint& t = lists[0].endpoints.at(0);
     EXPECT_EQ(t.uid, "s-1");
     EXPECT_EQ(t.zone, "hall-a");
     EXPECT_EQ(t.kind, "m2");
     EXPECT_EQ(t.cell, 3);
     EXPECT_EQ(t.weight, 1.5);
     EXPECT_EQ(t.boot_ms, 1764000000000);
-    EXPECT_EQ(lists[1].targets.at(0).state, TargetState::draining);
-    EXPECT_EQ(lists[2].targets.at(0).state, TargetState::gone);
+    EXPECT_EQ(lists[1].endpoints.at(0).state, EndpointState::draining);
+    EXPECT_EQ(lists[2].endpoints.at(0).state, EndpointState::gone);
 }
 
 // The same fault as with clients and hosts, but for the bound: what stood unread grew until the time was
@@ -67,7 +67,7 @@
     agent.async_accept(connection, [&](error_code ec) {
         if (!ec) write_on();
     });
-    Discovery watch(io, agent.local_endpoint(), [](const TargetList&) {});
+    Discovery watch(io, agent.local_endpoint(), [](const EndpointList&) {});
     ASSERT_TRUE(run_until(io, [&] { return ended; }));
     EXPECT_LT(written, std::size_t{8} << 20);  // as much as stands in the kernel's buffers, and little more
 }
@@ -94,8 +94,8 @@
                 return;
         }
     });
-    std::vector<TargetList> lists;
-    Discovery watch(io, agent.endpoint(), [&](const TargetList& l) { lists.push_back(l); });
+    std::vector<EndpointList> lists;
+    Discovery watch(io, agent.endpoint(), [&](const EndpointList& l) { lists.push_back(l); });
     ASSERT_TRUE(run_until(io, [&] { return agent.targets.size() >= 7; }));
     ASSERT_EQ(lists.size(), 1u);
     EXPECT_EQ(lists[0].version, 5);
@@ -112,7 +112,7 @@
         else if (at.size() < 5) p.say("HTTP/1.1 503 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     });
     Discovery watch(
-        io, agent.endpoint(), [](const TargetList&) {}, {100ms, 400ms, 400ms, 40ms, 160ms}, 5);
+        io, agent.endpoint(), [](const EndpointList&) {}, {100ms, 400ms, 400ms, 40ms, 160ms}, 5);
     ASSERT_TRUE(run_until(io, [&] { return at.size() == 5; }));
     for (std::size_t i = 1; i < 5; ++i) EXPECT_EQ(agent.targets[i].substr(0, 24), "/catalog/members?from=7&");
     EXPECT_GE(at[2] - at[1], 20ms);
@@ -144,7 +144,7 @@
         });
     });
     bool told = false;
-    Discovery watch(io, agent.endpoint(), [&](const TargetList&) { told = work.size() >= 2; });
+    Discovery watch(io, agent.endpoint(), [&](const EndpointList&) { told = work.size() >= 2; });
     EXPECT_TRUE(run_until(io, [&] { return told; }));
     EXPECT_EQ(agent.targets[0], "/catalog/members");
     EXPECT_EQ(agent.targets[1].substr(0, 24), "/catalog/members?from=7&");  // not the same call again
@@ -164,11 +164,11 @@
         if (at.size() == 1 || at.size() == 6) p.ok(list(static_cast<int>(at.size()), true, "ready"));
         else if (at.size() == 5) p.close();
     });
-    std::vector<TargetList> lists;
+    std::vector<EndpointList> lists;
     WatchPace pace = Discovery::pace_among(300, true);
     pace.hold = 20ms;
     Discovery watch(
-        io, agent.endpoint(), [&](const TargetList& l) { lists.push_back(l); }, pace, 5);
+        io, agent.endpoint(), [&](const EndpointList& l) { lists.push_back(l); }, pace, 5);
     ASSERT_TRUE(run_until(io, [&] { return at.size() == 7; }));
     EXPECT_LT(at[4] - at[1], 3s);      // silent: three times its patience
     EXPECT_LT(at[5] - at[4], 1400ms);  // closed
@@ -189,7 +189,7 @@
         if (at.size() == 1) p.ok(list(7, true, "ready"));
     });
     Discovery watch(
-        io, agent.endpoint(), [](const TargetList&) {}, {50ms, 40ms, 40ms, 15s, 15s}, 5);
+        io, agent.endpoint(), [](const EndpointList&) {}, {50ms, 40ms, 40ms, 15s, 15s}, 5);
     ASSERT_TRUE(run_until(io, [&] { return at.size() == 3; }));
     EXPECT_LT(at[2] - at[1], 7s);
     EXPECT_EQ(agent.targets[2], "/catalog/members?from=7&hold_ms=50");
@@ -234,7 +234,7 @@
             p.ok(R"({"rev":1,"all":true,"targets":[)" + targets + "]}");
     });
     std::size_t taken = 0;
-    Discovery watch(io, agent.endpoint(), [&](const TargetList& l) { taken = l.targets.size(); });
+    Discovery watch(io, agent.endpoint(), [&](const EndpointList& l) { taken = l.endpoints.size(); });
     ASSERT_TRUE(run_until(io, [&] { return agent.targets.size() >= 2; }));
     EXPECT_EQ(taken, static_cast<std::size_t>(hosts));
 }
@@ -261,7 +261,7 @@
     });
     bool taken = false;
     Discovery watch(
-        io, agent.endpoint(), [&](const TargetList&) { taken = true; }, {50ms, 250ms, 250ms, 15s, 15s}, 5);
+        io, agent.endpoint(), [&](const EndpointList&) { taken = true; }, {50ms, 250ms, 250ms, 15s, 15s}, 5);
     ASSERT_TRUE(run_until(io, [&] { return taken; }));
 }
 
