--- a/bench/scale/fleet_sweep.cpp
+++ b/bench/scale/fleet_sweep.cpp
@@ -35,7 +35,7 @@
   public:
     Fleet(const FleetSweep& sweep, int gateways, std::uint64_t seed) : sweep_(sweep), random_(seed) {
         HostsChanged list;
-        list.whole_list = true;
+        list.complete_list = true;
         for (int host = 0; host < hosts_listed; ++host) list.entries.push_back(host_entry(host, zones));
         for (int rank = 0; rank < gateways; ++rank) {
             gateways_.push_back(std::make_unique<HollowGateway>(rank, gateways, random_(), now_));
@@ -130,10 +130,10 @@
             AttemptEnded ended;
             ended.id = sent->id;
             ended.host = sent->host;
-            ended.took = answer_time;
-            ended.settled = true;
+            ended.elapsed = answer_time;
+            ended.request_completed = true;
             schedule(answer_time, gateway, ended);
-        } else if (std::holds_alternative<Refuse>(action)) {
+        } else if (std::holds_alternative<RejectRequest>(action)) {
             ++counts.refused;
         }
     }
--- a/bench/scale/gateway_run.cpp
+++ b/bench/scale/gateway_run.cpp
@@ -48,7 +48,7 @@
           timer_(io),
           period_(std::chrono::microseconds(static_cast<std::int64_t>(1e6 / changes_per_s))),
           hosts_(hosts),
-          whole_list_(whole_list()) {
+          whole_list_(complete_list()) {
         accept();
     }
     std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
@@ -94,7 +94,7 @@
             if (!failed) read(session);
         });
     }
-    std::string whole_list() const {
+    std::string complete_list() const {
         std::string list = R"({"rev":)" + std::to_string(version_) + R"(,"all":true,"targets":[)";
         for (int host = 0; host < hosts_; ++host) {
             if (host > 0) list += ',';
--- a/bench/scale/host_sweep.cpp
+++ b/bench/scale/host_sweep.cpp
@@ -42,9 +42,9 @@
     std::uint64_t latest_timer_ = 0;
 };
 
-HostsChanged whole_list(int hosts) {
+HostsChanged complete_list(int hosts) {
     HostsChanged list;
-    list.whole_list = true;
+    list.complete_list = true;
     for (int number = 0; number < hosts; ++number) list.entries.push_back(host_entry(number, zones));
     return list;
 }
@@ -72,8 +72,8 @@
         AttemptEnded ended;
         ended.id = id;
         ended.host = sent->host;
-        ended.took = 20ms;
-        ended.settled = true;
+        ended.elapsed = 20ms;
+        ended.request_completed = true;
         spent += instance.handle(ended);
         break;
     }
@@ -86,7 +86,7 @@
     Instance instance(seed);
     const std::uint64_t heartbeat = (instance.handle(HandedOver{false}), instance.latest_timer());
     {
-        const HostsChanged list = whole_list(hosts);
+        const HostsChanged list = complete_list(hosts);
         const std::size_t list_bytes = heap_bytes();
         instance.handle(list);
         costs.bytes = static_cast<double>(heap_bytes() - list_bytes);
--- a/bench/scale/module_settings.cpp
+++ b/bench/scale/module_settings.cpp
@@ -16,8 +16,8 @@
     settings.instances = instances;
     settings.zone = "zone-0";
     settings.classes = {
-        {"lookup", Effect::safe, RepeatScope::all, 250ms, 600ms, 0us, 1, 0},
-        {"issue", Effect::unsafe, RepeatScope::all, 800ms, 2s, 0us, 5, 0},
+        {"lookup", Idempotency::idempotent, DeduplicationScope::all, 250ms, 600ms, 0us, 1, 0},
+        {"issue", Idempotency::not_idempotent, DeduplicationScope::all, 800ms, 2s, 0us, 5, 0},
     };
     Plan plan;
     plan.name = "standard";
@@ -26,16 +26,16 @@
     settings.plans = {plan};
     settings.max_attempts = 3;
     settings.may_cancel = true;
-    settings.may_message = true;
-    settings.may_advise_retry = true;
+    settings.may_message_peers = true;
+    settings.may_send_retry_after = true;
     settings.messages_per_s = 40;
-    settings.most_units = 6;
+    settings.max_units = 6;
     settings.tick = 2ms;
-    settings.connect_time = 250ms;
-    settings.cold_time = 10s;
-    settings.fall_time = 1s;
-    settings.fall_multiple = 2.5;
-    settings.start_capacity = 0.15;
+    settings.connect_timeout = 250ms;
+    settings.slow_start_time = 10s;
+    settings.overload_time = 1s;
+    settings.overload_multiple = 2.5;
+    settings.slow_start_capacity = 0.15;
     return settings;
 }
 
--- a/include/gateway/interface.h
+++ b/include/gateway/interface.h
@@ -1,8 +1,9 @@
-// The types, events and actions of the gateway's decision module. No decision and no tuned value lives here.
+// Settings, events and actions of the decision module, and `Gateway`, which turns events into actions.
 //
-// A host process owns clock, timers, connections and messages. It builds one `Gateway` per instance, feeds it
-// what happens in order, and carries out the actions appended to the vector it hands in. All times are
-// microseconds of one clock that only moves forward; its start is arbitrary.
+// A host process owns the clock, timers, connections and messages. It builds one `Gateway` for each gateway
+// instance, feeds it events in the order in which they happen, and carries out the actions that it appends.
+// All times are microseconds of one monotonic clock, whose origin is arbitrary. A host is an endpoint of the
+// service behind the gateway; peers are the other gateways of the fleet. Units measure what a request costs.
 #pragma once
 
 #include <chrono>
@@ -19,60 +20,71 @@
 
 // ---- settings, given once at start ----------------------------------------------------------------------
 
-enum class Effect { safe, keyed, unsafe };   // what a second run of a request would do
-enum class RepeatScope { all, zone, cell };  // the hosts among which a keyed repeat is dropped
+// Whether a request may be executed twice without harm.
+enum class Idempotency {
+    idempotent,      // a second execution does no harm
+    with_key,        // hosts drop a second execution by its idempotency key, within limits
+    not_idempotent,  // a second execution does harm
+};
+// The hosts that share their memory of idempotency keys.
+enum class DeduplicationScope { all, zone, cell };
+// When hosts report their load.
 enum class LoadReports { none, in_answers, on_probe };
 
+// What all requests of one class have in common.
 struct RequestClass {
     std::string name;
-    Effect effect = Effect::safe;
-    RepeatScope repeat_scope = RepeatScope::all;
-    Micros aim{0};            // an answer within this time earns the full worth
-    Micros deadline{0};       // the client's whole patience
-    Micros repeat_window{0};  // keyed: how long hosts remember a request
-    double worth = 1;
-    double late_worth = 0;  // share of the worth earned after the aim
+    Idempotency idempotency = Idempotency::idempotent;
+    DeduplicationScope deduplication_scope = DeduplicationScope::all;  // for `with_key`
+    Micros latency_objective{0};     // an answer within this time earns the full weight; above 0
+    Micros deadline{0};              // the longest time that a client waits; above 0
+    Micros deduplication_window{0};  // for `with_key`: how long hosts remember a key
+    double priority_weight = 1;
+    double late_weight_share = 0;  // share of the weight earned after the latency objective
 };
 
+// The limits of one customer, by contract.
 struct Plan {
     std::string name;
-    double rate = 0;   // units a second for each customer; 0: no rate quota
-    double burst = 0;  // most units in the quota's store
-    int max_open = 0;  // attempts out at once; 0: no such quota
-    double worth_factor = 1;
-    double excess_worth = 0;  // share of the worth earned beyond the quota
-    double excess_cost = 0;   // share of the worth that a try beyond the quota costs
-    double hard_rate = 0;     // the ceiling's refill; 0: no ceiling
-    double hard_burst = 0;
+    double rate = 0;          // quota in units a second; 0: no rate quota
+    double burst = 0;         // units that the quota's token bucket holds
+    int max_concurrency = 0;  // attempts in flight at once; 0: no such limit
+    double weight_factor = 1;
+    double excess_weight_share = 0;  // share of the weight that a request beyond the quota earns
+    double excess_cost_share = 0;    // share of the weight that admitting a request beyond the quota costs
+    double ceiling_rate = 0;         // hard limit in units a second; 0: no ceiling
+    double ceiling_burst = 0;        // units that the ceiling's token bucket holds
 };
 
 struct Settings {
-    int rank = 0;
-    int instances = 1;
-    std::string zone;
+    int rank = 0;       // of this gateway, from 0 to `instances` - 1
+    int instances = 1;  // gateways in the fleet
+    std::string zone;   // of this gateway
     std::vector<RequestClass> classes;
     std::vector<Plan> plans;
-    // permissions
-    int max_attempts = 1;
-    bool second_copies = false;
-    bool may_cancel = false;
-    bool may_probe = false;
-    bool may_message = false;
-    bool may_advise_retry = false;
+
+    // What the gateway may do.
+    int max_attempts = 1;               // for one request, the first included
+    bool may_hedge = false;             // send a second attempt while the first is in flight
+    bool may_cancel = false;            // cancel an attempt in flight
+    bool may_check_health = false;      // send health checks to hosts
+    bool may_message_peers = false;     // send messages to other gateways
+    bool may_send_retry_after = false;  // tell rejected clients when to come again
     Micros max_retry_after{0};
-    double messages_per_s = 0;  // what one gateway takes in
-    bool units_settled_later = false;
-    double most_units = 0;  // of one request; 0: not told
+    double messages_per_s = 0;         // messages from peers that one gateway takes in
+    bool units_settled_later = false;  // answers tell the units that a request really took
+    double max_units = 0;              // of one request; 0: unknown
     LoadReports reports = LoadReports::none;
-    // figures of the rules
-    Micros tick{0};
-    Micros connect_time{0};  // after it an attempt whose connection has not come up ends unsent
-    Micros cold_time{0};
-    Micros fall_time{0};
-    double fall_multiple = 1;
-    double start_capacity = 1;
-    // prices
-    double cross_zone_cost = 0;
+
+    // Figures of the environment.
+    Micros tick{0};                  // resolution of the timers
+    Micros connect_timeout{0};       // an attempt whose connection is not up by then ends unsent
+    Micros slow_start_time{0};       // from a host's start until it has its full capacity
+    Micros overload_time{0};         // over which the load of a warming host is summed up
+    double overload_multiple = 1;    // of its capacity, beyond which a warming host fails
+    double slow_start_capacity = 1;  // share of its full capacity that a host has at its start
+
+    double cross_zone_cost = 0;  // of a request sent to another zone, as a share of its weight
 };
 
 // ---- events ---------------------------------------------------------------------------------------------
@@ -80,131 +92,153 @@
 enum class HostState { up, draining, gone };
 
 struct HostEntry {
-    std::string host;
+    std::string host;  // its unique name
     std::string zone;
     std::string kind;
     std::int64_t cell = 0;
     HostState state = HostState::up;
-    double weight = 1;
-    Micros started{0};  // clock time of the latest start; 0: long past
+    double weight = 1;  // relative capacity
+    Micros started{0};  // clock time of the latest start; 0: long ago
 };
 
+// A host's own report of its load. Values below 0 were not reported.
 struct LoadReport {
-    double queued = -1;       // requests waiting; below 0: not told
-    double outstanding = -1;  // requests held; below 0: not told
-    double utilization = -1;  // busy share of the cores; below 0: not told
+    double queued = -1;       // requests waiting
+    double outstanding = -1;  // requests in the host's hands
+    double utilization = -1;  // busy share of its cores
 };
 
-enum class Outcome { good, error, full, timeout, connect_failed, reset, cancelled, moot };
+// How an attempt or a health check ended.
+enum class Outcome {
+    success,
+    error,           // the host answered that it failed
+    rejected,        // the host answered that it is overloaded; nothing was executed
+    timeout,         // no answer within the attempt's timeout
+    connect_failed,  // no connection came up; nothing was executed
+    reset,           // the connection broke before the whole answer
+    cancelled,       // by this gateway
+    not_sent,        // nothing left this gateway
+};
 
+// A change of the endpoint list.
 struct HostsChanged {
-    bool whole_list = false;  // false: only the entries that changed
+    bool complete_list = false;  // false: only the entries that changed
     std::vector<HostEntry> entries;
 };
-// Operators take a host out, or put it back. Apart from the list's states: no list lifts a ban.
+// Operators take a host out or put it back. Independent of the endpoint list: no list lifts a ban.
 struct HostBanned {
     std::string host;
     bool banned = true;
 };
 struct RequestArrived {
-    RequestId id = 0;
+    RequestId id = 0;  // unique among the requests in hand
     std::string customer;
     int plan = 0;           // index into Settings::plans; below 0: unknown, no quota
     int request_class = 0;  // index into Settings::classes
     double units = 1;
-    Micros time_left{0};
-    int set_size = 1;   // gateways through which this customer arrives
-    int set_start = 0;  // rank of the first of them; the others follow, counted round
+    Micros time_left{0};  // until the client gives up
+    int set_size = 1;     // gateways through which this customer's requests arrive
+    int set_start = 0;    // rank of the first of them; the others follow, modulo the fleet's size
 };
 struct AttemptEnded {
     RequestId id = 0;
-    int attempt = 0;
+    int attempt = 0;  // counted from 0
     std::string host;
-    Outcome outcome = Outcome::good;
-    Micros took{0};
-    bool settled = false;   // the request has its final answer
-    double true_units = 0;  // 0: not told
+    Outcome outcome = Outcome::success;
+    Micros elapsed{0};               // since the attempt was sent
+    bool request_completed = false;  // the request has its final answer
+    double actual_units = 0;         // that the request really took; 0: unknown
     LoadReport report;
 };
-// A long answer has begun to go to the client, which is its final answer; the attempt stays out until it
-// ends.
-struct AnswerBegun {
+// A streamed answer has begun to go to the client, which completes the request. The attempt stays in flight
+// until the answer ends.
+struct ResponseStarted {
     RequestId id = 0;
     std::string host;
 };
-struct ProbeEnded {
+struct HealthCheckEnded {
     std::string host;
-    Outcome outcome = Outcome::good;
-    Micros took{0};
+    Outcome outcome = Outcome::success;
+    Micros elapsed{0};
     LoadReport report;
 };
-struct ClientLeft {
+// The client has closed its connection or cancelled the request.
+struct ClientDisconnected {
     RequestId id = 0;
 };
 struct MessageArrived {
-    int from = 0;
+    int from = 0;  // rank of the peer
     std::string bytes;
 };
 struct TimerFired {
-    std::uint64_t token = 0;
+    std::uint64_t token = 0;  // of the SetTimer
 };
-// An upgrade. Another process takes over: answered by LeaveState, and from then on this one lets nothing new
-// in. Or it takes back what it left, as the other has ended.
+// An upgrade. `away`: another process takes over; answered by SaveSnapshot, and from then on this one admits
+// nothing. Otherwise the other process has ended, and this one takes its quotas back.
 struct HandedOver {
     bool away = true;
 };
-// What the process before this one has left. A state of another version is passed over.
-struct StateLeft {
+// The snapshot that the process before this one has saved. One of another version is ignored; of one that is
+// cut short, what can be read is used.
+struct RestoreSnapshot {
     std::string bytes;
 };
 
-using Event = std::variant<HostsChanged, HostBanned, RequestArrived, AttemptEnded, AnswerBegun, ProbeEnded,
-                           ClientLeft, MessageArrived, TimerFired, HandedOver, StateLeft>;
+using Event =
+    std::variant<HostsChanged, HostBanned, RequestArrived, AttemptEnded, ResponseStarted, HealthCheckEnded,
+                 ClientDisconnected, MessageArrived, TimerFired, HandedOver, RestoreSnapshot>;
 
 // ---- actions --------------------------------------------------------------------------------------------
 
-enum class AttemptCause { first, retry, second_copy };
-// Why a request has its final answer from the gateway itself.
-enum class EndCause {
+enum class AttemptReason { first, retry, hedge };
+
+// Why the gateway itself completes a request.
+enum class RejectionReason {
     expired_on_arrival,
-    handed_over,         // another process takes over
-    over_quota,          // beyond the rate or the ceiling
-    over_open_cap,       // the turn under the cap on open attempts would come too late
-    paced,               // the warm-up limiter would release it too late
-    queue_full,          // more wait for a host than hosts could soon take
-    no_host_in_time,     // no host had room until its latest start
-    no_quota_in_time,    // no lease came until its latest start
-    repeat_not_allowed,  // the attempt failed, and its effect, group, window or count forbids a further one
-    retry_budget_spent,  // the attempt failed, and the budget has no further one
-    too_late_for_a_repeat,  // the attempt failed, and a further one could not be in time
-    deadline,               // the client's time is over
-};
-const char* name_of(AttemptCause cause);
-const char* name_of(EndCause cause);
-const char* name_of(Outcome outcome);
+    handed_over,             // another process takes over
+    over_quota,              // beyond the rate quota or the ceiling
+    over_concurrency_limit,  // a concurrency permit would come too late
+    warm_up_limit,           // the warm-up limiter would release it too late
+    queue_full,              // more requests wait for a host than hosts could soon take
+    no_host_available,       // no host had capacity until the latest start
+    no_lease_in_time,        // no quota lease came until the latest start
+    retry_not_allowed,  // an attempt failed; idempotency, deduplication or the attempt limit forbid a retry
+    retry_budget_exhausted,  // an attempt failed, and the retry budget is spent
+    too_late_to_retry,       // an attempt failed, and a retry could not be in time
+    deadline_exceeded,       // the client's time is over
+};
+
+// The names of the values, as logs and metrics show them.
+[[nodiscard]] const char* to_string(AttemptReason reason);
+[[nodiscard]] const char* to_string(RejectionReason reason);
+[[nodiscard]] const char* to_string(Outcome outcome);
 
 struct SendAttempt {
     RequestId id;
     std::string host;
-    Micros within;  // 0: until the client quits
-    AttemptCause cause = AttemptCause::first;
+    Micros timeout;  // after which the attempt ends as Outcome::timeout; above 0
+    AttemptReason reason = AttemptReason::first;
 };
-struct Refuse {  // final: trying again is harmless
+// Completes the request with the promise that it was not executed, or that executing it again is harmless.
+struct RejectRequest {
     RequestId id;
     Micros retry_after;  // 0: no advice
-    EndCause cause = EndCause::deadline;
+    RejectionReason reason = RejectionReason::deadline_exceeded;
 };
-struct Fail {  // final: promises nothing
+// Completes the request without any promise.
+struct FailRequest {
     RequestId id;
-    EndCause cause = EndCause::deadline;
+    RejectionReason reason = RejectionReason::deadline_exceeded;
 };
 struct CancelAttempt {
     RequestId id;
     int attempt;
 };
-struct ProbeHost {
+// Sends a health check, answered by HealthCheckEnded.
+struct CheckHealth {
     std::string host;
 };
+// Answered by TimerFired with the token. Timers are not cancelled.
 struct SetTimer {
     Micros from_now;
     std::uint64_t token;
@@ -213,19 +247,20 @@
     int to;  // rank of a peer; below 0: every peer
     std::string bytes;
 };
-
-struct LeaveState {
+// The state that the next process restores.
+struct SaveSnapshot {
     std::string bytes;
 };
 
-using Action =
-    std::variant<SendAttempt, Refuse, Fail, CancelAttempt, ProbeHost, SetTimer, SendMessage, LeaveState>;
+using Action = std::variant<SendAttempt, RejectRequest, FailRequest, CancelAttempt, CheckHealth, SetTimer,
+                            SendMessage, SaveSnapshot>;
 
 // ---- the module -----------------------------------------------------------------------------------------
 
+// The decisions of one gateway. Deterministic: equal settings, seed and events give equal actions.
 class Gateway {
   public:
-    // Throws std::invalid_argument with a plain message where the settings cannot work.
+    // Throws std::invalid_argument where the settings cannot work; its message names the setting.
     Gateway(Settings settings, std::uint64_t seed, Micros now);
     ~Gateway();
     Gateway(Gateway&&) noexcept;
--- a/include/gateway/request_rules.h
+++ b/include/gateway/request_rules.h
@@ -1,7 +1,7 @@
-// The rules on one request, in one place: whether it may be sent, sent again or refused now.
+// Whether a request may be sent, retried, hedged or rejected now.
 //
-// The gateway's decisions ask here, and the host process asks here again before it carries a decision out,
-// with a history of its own.
+// The decision module asks here, and the server asks again before it carries a decision out, with a history
+// of its own (rule_guard.h).
 #pragma once
 
 #include <cstdint>
@@ -13,69 +13,70 @@
 
 namespace gateway::decision {
 
-// What hosts share their memory of keyed requests by.
+// Where a host stands: hosts share their memory of idempotency keys by zone or cell.
 struct HostPlace {
     std::string_view zone;
     std::int64_t cell = 0;
 };
 
-// The attempts of one request, and what became of them.
+// The attempts of one request and how they ended.
 class RequestHistory {
   public:
     struct Attempt {
         int number = 0;
         Micros sent{0};
-        std::string zone;  // of its host, as the cell
+        std::string zone;  // of its host
         std::int64_t cell = 0;
-        bool out = true;
-        bool never_ran = false;  // proved by its outcome
+        bool in_flight = true;
+        bool not_executed = false;  // as its outcome proves
     };
 
     void begin_attempt(int number, const HostPlace& place, Micros now) {
         attempts_.push_back({number, now, std::string(place.zone), place.cell});
     }
-    // Does nothing for an attempt that has ended or never begun.
+    // No effect for an attempt that has ended or never begun.
     void end_attempt(int number, Outcome outcome);
     const std::vector<Attempt>& attempts() const { return attempts_; }
     int count() const { return static_cast<int>(attempts_.size()); }
-    int out() const;
-    // One that is out counts, too.
-    bool may_have_run() const;
+    [[nodiscard]] int in_flight() const;
+    // Whether any attempt may have been executed; one in flight may have been.
+    [[nodiscard]] bool may_have_run() const;
 
   private:
     std::vector<Attempt> attempts_;
 };
 
-// Whether an outcome proves that the attempt never ran at its host.
-bool proves_never_ran(Outcome outcome);
+// Whether an outcome proves that the host did not execute the attempt.
+[[nodiscard]] bool proves_not_executed(Outcome outcome);
 
 enum class SendVerdict {
     allowed,
-    attempts_spent,    // as many as the settings allow
-    ran_already,       // an unsafe request may have run
-    outside_group,     // a keyed request may have run at a host whose memory this one does not share
-    outside_window,    // a keyed request may come when hosts have forgotten it
-    second_copy,       // the settings allow no two attempts at once
-    already_answered,  // the request has its final answer, or its client has left
-    expired,           // the client's time is over
-    host_leaving,      // the host drains, is gone or was taken out
+    attempts_exhausted,           // as many attempts as the settings allow
+    may_have_run,                 // a request that is not idempotent may have been executed
+    outside_deduplication_scope,  // the host does not share the memory of keys with an earlier attempt's host
+    outside_deduplication_window,  // the host may have forgotten the key of an earlier attempt
+    hedge_not_allowed,             // the settings allow no two attempts at once
+    already_completed,             // the request has its final answer, or its client has disconnected
+    expired,                       // the client's time is over
+    host_draining,                 // the host drains, is gone or was banned
 };
-constexpr std::size_t send_verdicts = 9;
-const char* name_of(SendVerdict verdict);
+constexpr std::size_t send_verdict_count = 9;
+[[nodiscard]] const char* to_string(SendVerdict verdict);
 
 class RequestRules {
   public:
+    // The settings must outlive the rules.
     explicit RequestRules(const Settings& settings) : settings_(settings) {}
 
-    // Whether an attempt at a host there may begin now.
-    SendVerdict judge_send(const RequestClass& request_class, const RequestHistory& history,
-                           const HostPlace& place, Micros now) const;
-    // Whether "trying again is harmless" would be true.
-    bool may_refuse(const RequestClass& request_class, const RequestHistory& history) const;
+    // Whether an attempt at a host in that place may begin now.
+    [[nodiscard]] SendVerdict check_send(const RequestClass& request_class, const RequestHistory& history,
+                                         const HostPlace& place, Micros now) const;
+    // Whether a rejection may promise that executing the request again is harmless.
+    [[nodiscard]] bool may_refuse(const RequestClass& request_class, const RequestHistory& history) const;
 
   private:
-    SendVerdict judge_repeat(const RequestClass& request_class, const RequestHistory::Attempt& earlier,
-                             const HostPlace& place, Micros now) const;
+    SendVerdict check_retry(const RequestClass& request_class, const RequestHistory::Attempt& earlier,
+                            const HostPlace& place, Micros now) const;
 
     const Settings& settings_;
 };
--- a/include/gateway/rule_guard.h
+++ b/include/gateway/rule_guard.h
@@ -18,10 +18,10 @@
 class RuleGuard {
   public:
     struct Violations {
-        std::array<std::uint64_t, send_verdicts> sends{};  // that were not allowed, by SendVerdict
-        std::uint64_t refusals = 0;                        // of a request that may have run
-        std::uint64_t late_answers = 0;                    // half a second after the client's time, or later
-        std::uint64_t unanswered = 0;  // a request in hand whose connection was closed here
+        std::array<std::uint64_t, send_verdict_count> sends{};  // that were not allowed, by SendVerdict
+        std::uint64_t refusals = 0;                             // of a request that may have run
+        std::uint64_t late_answers = 0;  // half a second after the client's time, or later
+        std::uint64_t unanswered = 0;    // a request in hand whose connection was closed here
         // Faults of this program. A decision may cross the end of its request, so that a send for one that is
         // answered or expired is held back here in good order: those do not count.
         std::uint64_t total() const;
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -152,16 +152,18 @@
         check(s_.rank >= 0 && s_.rank < s_.instances, "settings: rank must lie within instances");
         check(s_.max_attempts >= 1, "settings: max_attempts must be 1 at least");
         for (const Plan& p : s_.plans)
-            check(std::min({p.rate, p.burst, p.hard_rate, p.hard_burst}) >= 0,
+            check(std::min({p.rate, p.burst, p.ceiling_rate, p.ceiling_burst}) >= 0,
                   "settings: plan figures below 0");
         for (const RequestClass& c : s_.classes)
-            check(c.deadline > 0us && c.aim > 0us, "settings: a class needs an aim and a deadline above 0");
+            check(c.deadline > 0us && c.latency_objective > 0us,
+                  "settings: a class needs an aim and a deadline above 0");
         next_nonce_ = static_cast<std::uint32_t>(random_()) | 1;
         // Once every store would be full again, a customer that is forgotten and one that is kept are alike.
         // Guards against memory that grows with all who ever came.
         for (const Plan& p : s_.plans) {
             if (p.rate > 0) idle_after_ = std::max(idle_after_, micros(p.burst / p.rate));
-            if (p.hard_rate > 0) idle_after_ = std::max(idle_after_, micros(p.hard_burst / p.hard_rate));
+            if (p.ceiling_rate > 0)
+                idle_after_ = std::max(idle_after_, micros(p.ceiling_burst / p.ceiling_rate));
         }
     }
 
@@ -197,9 +199,9 @@
     }
     void touch(Customer& c) {
         const double dt = seconds(now_ - std::exchange(c.touched, now_));
-        if (const Plan* p = plan_of(c); p && p->hard_rate > 0)
-            c.hard_level +=
-                std::min(even_ceiling(c, p->hard_burst) - c.hard_level, dt * even_ceiling(c, p->hard_rate));
+        if (const Plan* p = plan_of(c); p && p->ceiling_rate > 0)
+            c.hard_level += std::min(even_ceiling(c, p->ceiling_burst) - c.hard_level,
+                                     dt * even_ceiling(c, p->ceiling_rate));
     }
 
     Customer& customer(const RequestArrived& r) {
@@ -232,7 +234,8 @@
         const bool owns = home(request.customer, request.set_start, request.set_size, 0) == s_.rank;
         l.level = std::min(p.burst * (owns ? 1 : start_share), l.level + dt * p.rate);
         if (owns)
-            l.hard = std::min(home_hard_share * p.hard_burst, l.hard + dt * home_hard_share * p.hard_rate);
+            l.hard =
+                std::min(home_hard_share * p.ceiling_burst, l.hard + dt * home_hard_share * p.ceiling_rate);
         l.asked.add(request.need + request.extra, now_, use_memory_s);
         LeaseGrant given{request.nonce};
         given.demand = l.asked.value(now_, use_memory_s) / use_memory_s;
@@ -246,7 +249,7 @@
             wait = seconds(l.promised - now_);
         }
         if (l.hard < request.hard)
-            wait = std::max(wait, (request.hard - l.hard) / std::max(p.hard_rate, 1e-9));
+            wait = std::max(wait, (request.hard - l.hard) / std::max(p.ceiling_rate, 1e-9));
         if (wait > 0)
             return given.wait_ms = static_cast<std::uint32_t>(std::min(wait, 60.0) * 1e3) + 1, given;
         given.units = request.need + std::clamp((l.level - request.need) / 2, 0.0, request.extra);
@@ -266,7 +269,7 @@
         for (int place = 0; place < homes && c.tries < lease_tries; ++place) {
             const int to = home(c.hash, c.set_start, c.set_size, place);
             if (to == s_.rank) return receive(c, grant(request));
-            if (!s_.may_message || now_ < peers_[to].silent_until) continue;
+            if (!s_.may_message_peers || now_ < peers_[to].silent_until) continue;
             ++c.tries;
             c.nonce = request_lease(c, to, request, false);
             return;
@@ -297,7 +300,8 @@
         // What lies unspent at the gateways of a set is more than the customer's own store would hold, as
         // that fills to the burst only: together they keep no more than that ahead.
         const double most = p->burst / c.set_size;
-        if (c.level >= soon || most < k || to == s_.rank || !s_.may_message || now_ < peers_[to].silent_until)
+        if (c.level >= soon || most < k || to == s_.rank || !s_.may_message_peers ||
+            now_ < peers_[to].silent_until)
             return;
         const double ahead = std::min(prefetch_factor * soon, most);
         LeaseRequest request{0, c.hash, c.plan, c.set_size, c.set_start, 0, ahead, ceiling_lack(c, k)};
@@ -313,9 +317,10 @@
         const double k = q.arrival.units;
         const Micros wait = c.even_at - now_;
         if (ceiling_lack(c, k) > 0)
-            return deny(q, micros(ceiling_lack(c, k) / even_ceiling(c, p.hard_rate)), EndCause::over_quota);
+            return deny(q, micros(ceiling_lack(c, k) / even_ceiling(c, p.ceiling_rate)),
+                        RejectionReason::over_quota);
         if (lack(c, k) > 0) {
-            if (wait > 0us) return deny(q, wait, EndCause::over_quota);
+            if (wait > 0us) return deny(q, wait, RejectionReason::over_quota);
             c.even_at = std::max(c.even_at, now_) + micros(k * c.set_size / std::max(p.rate, 1e-9));
             c.level += lack(c, k);
         }
@@ -326,7 +331,7 @@
         return plan_of(c)->rate > 0 ? std::max(0.0, k - c.level) : 0;
     }
     double ceiling_lack(const Customer& c, double k) const {
-        return plan_of(c)->hard_rate > 0 ? std::max(0.0, k - (c.hard_level - c.hard_reserved)) : 0;
+        return plan_of(c)->ceiling_rate > 0 ? std::max(0.0, k - (c.hard_level - c.hard_reserved)) : 0;
     }
 
     // A lease goes into the stores and the line moves. True where that let a request in.
@@ -334,7 +339,7 @@
         const Plan& p = *plan_of(c);
         touch(c);
         c.level = std::min(c.level + given.units, std::max(p.burst, c.level));
-        c.hard_level = std::min(c.hard_level + given.hard, even_ceiling(c, p.hard_burst));
+        c.hard_level = std::min(c.hard_level + given.hard, even_ceiling(c, p.ceiling_burst));
         c.told_demand = given.demand, c.told_at = now_;
         bool any = false;
         for (const RequestId id : std::exchange(c.awaiting, {})) {
@@ -354,21 +359,21 @@
         c.dry_until = now_ + wait;
         for (const RequestId id : std::exchange(c.awaiting, {}))
             if (const auto it = requests_.find(id); it != requests_.end())
-                c.dry_need = it->second.arrival.units, deny(it->second, wait, EndCause::over_quota);
+                c.dry_need = it->second.arrival.units, deny(it->second, wait, RejectionReason::over_quota);
     }
 
     // Beyond the quota: refused at once with the wait, unless settings say that excess earns.
-    void deny(Request& q, Micros wait, EndCause cause) {
+    void deny(Request& q, Micros wait, RejectionReason cause) {
         const Plan* p = plan_of(*q.customer);
         const bool earns =
-            p->excess_worth > p->excess_cost && ceiling_lack(*q.customer, q.arrival.units) <= 0;
+            p->excess_weight_share > p->excess_cost_share && ceiling_lack(*q.customer, q.arrival.units) <= 0;
         const bool room = !pressed_ && slow_share_ < room_below && waiting_.empty();
         if (!earns || !room) return refuse(q, wait, cause);
         q.in_quota = false;
         admit(q);
     }
-    void refuse(Request& q, Micros wait, EndCause cause) {
-        actions_->push_back(Refuse{q.arrival.id, advice(std::max(wait, 0us)), cause});
+    void refuse(Request& q, Micros wait, RejectionReason cause) {
+        actions_->push_back(RejectRequest{q.arrival.id, advice(std::max(wait, 0us)), cause});
         forget(q);
     }
 
@@ -384,14 +389,14 @@
         // Timers come on the grid of the tick: what has less left than two of them could not be answered in
         // time.
         if (r.time_left <= 2 * s_.tick)
-            return actions_->push_back(Refuse{r.id, 0us, EndCause::expired_on_arrival});
-        if (handed_) return actions_->push_back(Refuse{r.id, 0us, EndCause::handed_over});
+            return actions_->push_back(RejectRequest{r.id, 0us, RejectionReason::expired_on_arrival});
+        if (handed_) return actions_->push_back(RejectRequest{r.id, 0us, RejectionReason::handed_over});
         Customer& c = customer(r);
         Request q;
         q.arrival = r, q.customer = &c, q.deadline = now_ + r.time_left;
         q.arrival.units = std::max(0.0, r.units);
         q.kind = r.request_class * static_cast<int>(s_.plans.size() + 1) + r.plan + 1;
-        const double left = seconds(std::min(r.time_left, s_.classes[r.request_class].aim));
+        const double left = seconds(std::min(r.time_left, s_.classes[r.request_class].latency_objective));
         const double margin = std::min(margin_answers * answer_for(q.arrival.units), margin_most * left);
         q.latest_start = now_ + micros(left - margin);
         const double k = q.arrival.units;
@@ -409,7 +414,8 @@
         const double k = q.arrival.units;
         if (!plan_of(c) || (lack(c, k) <= 0 && ceiling_lack(c, k) <= 0))
             return has_slot(c) ? admit(q) : hold(q);
-        if (now_ < c.dry_until && k >= c.dry_need) return deny(q, c.dry_until - now_, EndCause::over_quota);
+        if (now_ < c.dry_until && k >= c.dry_need)
+            return deny(q, c.dry_until - now_, RejectionReason::over_quota);
         c.awaiting.push_back(q.arrival.id);
         timer(q.latest_start - now_, q.arrival.id, TimerKind::expiry);
         if (c.nonce == 0) acquire(c);
@@ -420,26 +426,26 @@
     bool borrows_slots(const Customer& c) {
         const Plan& p = *plan_of(c);
         const int to = home(c.hash, c.set_start, c.set_size, 0);
-        return c.set_size > 2 * p.max_open && s_.may_message &&
+        return c.set_size > 2 * p.max_concurrency && s_.may_message_peers &&
                (to == s_.rank || now_ >= peers_[to].silent_until);
     }
     // This gateway's slots. What is let in and not sent yet will count as well. A fraction of a slot is none,
     // but for the first: rounded up, the shares of a set would be more than the cap.
     double slots(const Customer& c) {
         if (borrows_slots(c)) return now_ < c.slots_until ? c.slots : 0;
-        return std::max(1.0, std::floor(plan_of(c)->max_open * share(c)));
+        return std::max(1.0, std::floor(plan_of(c)->max_concurrency * share(c)));
     }
     bool has_slot(const Customer& c) {
         const Plan* p = plan_of(c);
-        return !p || p->max_open <= 0 || c.open + c.leaving < slots(c);
+        return !p || p->max_concurrency <= 0 || c.open + c.leaving < slots(c);
     }
     // Beyond the open cap: held until an attempt ends, or refused at once where its turn would come too late.
     void hold(Request& q) {
         Customer& c = *q.customer;
         std::erase_if(c.held, [this](RequestId id) { return !requests_.count(id); });
         const double line = 1 + static_cast<double>(c.held.size()) + c.slots_in_line;
-        const Micros wait = micros(answer_s_ * line / plan_of(c)->max_open);
-        if (now_ + wait > q.latest_start) return deny(q, wait, EndCause::over_open_cap);
+        const Micros wait = micros(answer_s_ * line / plan_of(c)->max_concurrency);
+        if (now_ + wait > q.latest_start) return deny(q, wait, RejectionReason::over_concurrency_limit);
         c.held.push_back(q.arrival.id);
         timer(q.latest_start - now_, q.arrival.id, TimerKind::expiry);
         claim_slots(c, false);
@@ -455,9 +461,9 @@
     // Tells the home how many slots there is use for here, once that has changed or what is lent runs out.
     void claim_slots(Customer& c, bool renews) {
         const Plan* p = plan_of(c);
-        if (!p || p->max_open <= 0 || handed_ || !borrows_slots(c)) return;
+        if (!p || p->max_concurrency <= 0 || handed_ || !borrows_slots(c)) return;
         std::erase_if(c.held, [this](RequestId id) { return !requests_.count(id); });
-        const int wanted = std::min(p->max_open, c.open + c.leaving + static_cast<int>(c.held.size()));
+        const int wanted = std::min(p->max_concurrency, c.open + c.leaving + static_cast<int>(c.held.size()));
         if (wanted == c.slots_wanted && !renews) return;
         c.slots_wanted = wanted, c.slots = std::min(c.slots, wanted);
         c.slots_asked = now_;
@@ -487,7 +493,7 @@
         if (it->held == it->wanted) std::rotate(it, it + 1, holders.end()), it = holders.end() - 1;
         it->nonce = r.nonce, it->wanted = r.wanted, it->held = std::min(it->held, r.wanted);
         it->until = now_ + slot_term;
-        int free = s_.plans[r.plan].max_open, in_line = 0;
+        int free = s_.plans[r.plan].max_concurrency, in_line = 0;
         for (const SlotHolder& h : holders) free -= h.held, in_line += h.wanted - h.held;
         std::optional<SlotGrant> own;  // last: what it lets in may come back here
         for (SlotHolder& h : holders) {
@@ -523,33 +529,33 @@
             const double stable_s = 1 / (p->rate * share(c)), warmup_s = p->burst / p->rate;
             c.limiter.resync(now_, stable_s, warmup_s);
             wait = c.limiter.next_free - now_;
-            if (now_ + wait > q.latest_start) return refuse(q, wait, EndCause::paced);
+            if (now_ + wait > q.latest_start) return refuse(q, wait, RejectionReason::warm_up_limit);
             c.limiter.reserve(k, stable_s, warmup_s);
         }
         q.admitted = true;
         ++c.leaving;
         if (p && p->rate > 0 && q.in_quota) c.level -= k;
-        if (p && p->hard_rate > 0) c.hard_reserved += k;
+        if (p && p->ceiling_rate > 0) c.hard_reserved += k;
         prefetch(c, k);
         if (wait <= 0us) return dispatch(q);
         timer(wait, q.arrival.id, TimerKind::release);
     }
 
-    Micros advice(Micros wait) const { return s_.may_advise_retry ? wait : 0us; }
+    Micros advice(Micros wait) const { return s_.may_send_retry_after ? wait : 0us; }
 
     // ---- choice of a host -------------------------------------------------------------------------------
 
     double capacity_share(const Host& h) const {
-        if (h.entry.started <= 0us || s_.cold_time <= 0us) return 1;
-        const double age = seconds(now_ - h.entry.started) / seconds(s_.cold_time);
-        return age >= 1 ? 1 : s_.start_capacity + (1 - s_.start_capacity) * std::max(0.0, age);
+        if (h.entry.started <= 0us || s_.slow_start_time <= 0us) return 1;
+        const double age = seconds(now_ - h.entry.started) / seconds(s_.slow_start_time);
+        return age >= 1 ? 1 : s_.slow_start_capacity + (1 - s_.slow_start_capacity) * std::max(0.0, age);
     }
 
     // A cold host gets the even share of warm ones, scaled to the capacity it surely has, as a chance: the
     // part of a request come due since it was last considered. In sum over all gateways the share holds.
     // Guards against herds on fresh hosts, retries too; harms where requests cost more than their units say.
     bool cold_turn(Host& h, double units) {
-        const double rate = cold_caution * s_.fall_multiple * capacity_share(h) * warm_rate();
+        const double rate = cold_caution * s_.overload_multiple * capacity_share(h) * warm_rate();
         const Micros span = std::min(now_ - std::exchange(h.looked_at, now_), cold_chance_most);
         return uniform() * std::max(units, 1e-3) < rate * seconds(span);
     }
@@ -583,7 +589,7 @@
     const RequestClass& class_of(const Request& q) const { return s_.classes[q.arrival.request_class]; }
     static HostPlace place_of(const Host& h) { return {h.entry.zone, h.entry.cell}; }
     bool may_send(const Request& q, const Host& h) const {
-        return rules_.judge_send(class_of(q), q.history, place_of(h), now_) == SendVerdict::allowed;
+        return rules_.check_send(class_of(q), q.history, place_of(h), now_) == SendVerdict::allowed;
     }
 
     // Requests at a host: by its own word while that is fresh, with what went there since, else by estimate.
@@ -648,7 +654,7 @@
         q.probes_out = static_cast<int>(q.pair.size());
         for (Host* h : q.pair) {
             h->probed_for.push_back(q.arrival.id);
-            if (h->probed_for.size() == 1) actions_->push_back(ProbeHost{h->entry.host});
+            if (h->probed_for.size() == 1) actions_->push_back(CheckHealth{h->entry.host});
         }
         timer(probe_due, q.arrival.id, TimerKind::probe);
         return true;
@@ -661,7 +667,7 @@
         return even + window_slack * std::sqrt(even);
     }
     bool known(const Host& h) const {
-        return !s_.may_probe || h.answers.value(now_, long_memory_s) >= known_answers;
+        return !s_.may_check_health || h.answers.value(now_, long_memory_s) >= known_answers;
     }
     // By a fresh word of its own a host has room while nothing queues there, whatever the limits learned.
     bool takes(const Host& h) const {
@@ -670,11 +676,11 @@
                ((fresh && h.idle && !h.tells_held) || held(h) < limit(h));
     }
 
-    void on(const ProbeEnded& e) {
+    void on(const HealthCheckEnded& e) {
         const auto it = hosts_.find(e.host);
         if (it == hosts_.end()) return;
         Host& h = it->second;
-        const bool good = e.outcome == Outcome::good;
+        const bool good = e.outcome == Outcome::success;
         if (good) note_report(h, e.report);
         else h.blocked_until = std::max(h.blocked_until, now_ + report_valid);
         for (const RequestId id : std::exchange(h.probed_for, {})) {
@@ -708,7 +714,7 @@
     void send_to(Request& q, Host& h) {
         Customer& c = *q.customer;
         const Plan* p = plan_of(c);
-        if (!q.sent && p && p->hard_rate > 0) {
+        if (!q.sent && p && p->ceiling_rate > 0) {
             touch(c);
             c.hard_level -= q.arrival.units, c.hard_reserved -= q.arrival.units;
         }
@@ -724,16 +730,16 @@
         mean_units_ += answer_weight * (q.arrival.units - mean_units_);
         h.sent.add(q.arrival.units, now_, warm_memory_s);
         warm_.add_sent(h, q.arrival.units, now_);
-        const AttemptCause cause = std::exchange(q.next_attempt, AttemptCause::retry);
+        const AttemptReason cause = std::exchange(q.next_attempt, AttemptReason::retry);
         actions_->push_back(SendAttempt{q.arrival.id, h.entry.host, std::max(q.deadline - now_, 1us), cause});
-        const double aim = seconds(s_.classes[q.arrival.request_class].aim);
+        const double aim = seconds(s_.classes[q.arrival.request_class].latency_objective);
         timer(micros(std::clamp(silent_answers * answer_s_, check_earliest * aim, check_latest * aim)),
               q.arrival.id, TimerKind::check);
     }
 
     void dispatch(Request& q) {
         if (now_ <= q.latest_start && try_send(q)) return;
-        if (now_ >= q.latest_start) return finish(q, EndCause::no_host_in_time);
+        if (now_ >= q.latest_start) return finish(q, RejectionReason::no_host_available);
         if (!std::exchange(q.waiting, true)) waiting_.push_back(q.arrival.id);
         timer(std::min(wait_again, q.latest_start - now_), q.arrival.id, TimerKind::expiry);
         // Of more that wait than hosts could soon take, the oldest is answered now, so that its client can
@@ -741,7 +747,7 @@
         if (static_cast<double>(waiting_.size()) <= waiting_for_each_host * order_.size() + 1) return;
         const auto it = requests_.find(waiting_.front());
         waiting_.pop_front();
-        if (it != requests_.end() && it->second.waiting) finish(it->second, EndCause::queue_full);
+        if (it != requests_.end() && it->second.waiting) finish(it->second, RejectionReason::queue_full);
     }
 
     // Lets waiting requests go while hosts have room, newest first: in order, all would leave at their last
@@ -756,21 +762,21 @@
     }
 
     // Final answer: a refusal where it is sure or harmless that nothing ran, else a failure.
-    void finish(Request& q, EndCause cause) {
+    void finish(Request& q, RejectionReason cause) {
         if (rules_.may_refuse(class_of(q), q.history))
             return refuse(q, q.sent ? 0us : micros(answer_s_), cause);
-        actions_->push_back(Fail{q.arrival.id, cause});
+        actions_->push_back(FailRequest{q.arrival.id, cause});
         forget(q);
     }
     void forget(Request& q) {
         Customer& c = *q.customer;
         if (const Plan* p = plan_of(c); p && q.admitted && !q.sent) {  // gives its units back
             if (q.in_quota && p->rate > 0) c.level += q.arrival.units;
-            if (p->hard_rate > 0) c.hard_reserved -= q.arrival.units;
+            if (p->ceiling_rate > 0) c.hard_reserved -= q.arrival.units;
         }
         if (q.admitted && !q.sent) --c.leaving;
         --c.requests;
-        if (q.history.out() > 0) left_out_[q.arrival.id] = {&c, q.history.out()};
+        if (q.history.in_flight() > 0) left_out_[q.arrival.id] = {&c, q.history.in_flight()};
         requests_.erase(q.arrival.id);
         fill_slots(c);
     }
@@ -781,8 +787,8 @@
     bool fast(double aim_s) const { return answer_s_ <= limit_slow_share * aim_s; }
 
     void judge(Host& h, const AttemptEnded& a, double aim_s) {
-        const bool good = a.outcome == Outcome::good;
-        const double took = seconds(a.took);
+        const bool good = a.outcome == Outcome::success;
+        const double took = seconds(a.elapsed);
         if (good) {
             h.failures = h.ejections = 0;
             h.answer_s = h.answer_s > 0 ? h.answer_s + answer_weight * (took - h.answer_s)
@@ -791,9 +797,9 @@
         }
         // A time-out counts as slow or bad by its length, and as the host's failure only if that was silent
         // all along. Guards against clients of little patience and costly requests putting good hosts out.
-        const bool late = a.outcome == Outcome::timeout, silent = late && h.last_answer + a.took < now_;
+        const bool late = a.outcome == Outcome::timeout, silent = late && h.last_answer + a.elapsed < now_;
         const bool bad =
-            !fast(aim_s) && (a.outcome == Outcome::full || (late && took > limit_slow_share * aim_s));
+            !fast(aim_s) && (a.outcome == Outcome::rejected || (late && took > limit_slow_share * aim_s));
         h.answers.add(1, now_, long_memory_s);
         const bool cut = bad || (good && took > limit_slow_share * aim_s);
         const auto learn = [&](double& most, double least, bool near) {
@@ -804,7 +810,7 @@
         learn(h.out_limit, limit_least, load(h) + 2 > limit(h));
         learn(limit_, window_least, 2 * (out_ + 1) > window());
         if (good || bad) {
-            const bool slow = a.outcome == Outcome::full || took > slow_share_of_aim * aim_s;
+            const bool slow = a.outcome == Outcome::rejected || took > slow_share_of_aim * aim_s;
             slow_share_ += slow_weight * (slow - slow_share_);
             pressed_ = slow_share_ > (pressed_ ? relieved_below : pressed_above);
         }
@@ -828,14 +834,15 @@
         Customer* customer = nullptr;
         if (host != hosts_.end()) {
             if (host->second.out > 0) --host->second.out, --out_;
-            work_out_.add(seconds(a.took), now_, warm_memory_s);
-            const double aim = found == requests_.end()
-                                   ? aim_s()
-                                   : seconds(s_.classes[found->second.arrival.request_class].aim);
+            work_out_.add(seconds(a.elapsed), now_, warm_memory_s);
+            const double aim =
+                found == requests_.end()
+                    ? aim_s()
+                    : seconds(s_.classes[found->second.arrival.request_class].latency_objective);
             if (a.report.queued >= 0 || a.report.outstanding >= 0) note_report(host->second, a.report);
-            if (a.outcome == Outcome::good || a.outcome == Outcome::error) host->second.last_answer = now_;
+            if (a.outcome == Outcome::success || a.outcome == Outcome::error) host->second.last_answer = now_;
             if (!stalled()) judge(host->second, a, aim);
-            if (a.outcome == Outcome::full && fast(aim) && found != requests_.end())
+            if (a.outcome == Outcome::rejected && fast(aim) && found != requests_.end())
                 host->second.shunned[found->second.kind] = now_ + shun_for;
         }
         if (found != requests_.end()) {
@@ -843,10 +850,10 @@
             customer = q.customer;
             q.history.end_attempt(a.attempt, a.outcome);
             customer->open = std::max(0, customer->open - 1);
-            if (a.true_units > 0 && s_.units_settled_later && q.in_quota)
-                q.customer->level += q.arrival.units - a.true_units;
-            if (a.settled) forget(q);
-            else if (q.history.out() == 0) again(q);
+            if (a.actual_units > 0 && s_.units_settled_later && q.in_quota)
+                q.customer->level += q.arrival.units - a.actual_units;
+            if (a.request_completed) forget(q);
+            else if (q.history.in_flight() == 0) again(q);
         } else if (const auto left = left_out_.find(a.id); left != left_out_.end()) {
             customer = left->second.customer;
             customer->open = std::max(0, customer->open - 1);
@@ -855,23 +862,23 @@
         if (customer) fill_slots(*customer);
         pump();
     }
-    void on(const AnswerBegun& e) {
+    void on(const ResponseStarted& e) {
         if (const auto host = hosts_.find(e.host); host != hosts_.end()) host->second.last_answer = now_;
         if (const auto found = requests_.find(e.id); found != requests_.end()) forget(found->second);
     }
-    double aim_s() const { return s_.classes.empty() ? 1 : seconds(s_.classes.front().aim); }
+    double aim_s() const { return s_.classes.empty() ? 1 : seconds(s_.classes.front().latency_objective); }
 
     // A further attempt, only from the retry budget and only if it can still be in time.
     void again(Request& q) {
         const RequestClass& k = class_of(q);
         // At the host of the last attempt, of whose group a repeat's host must be.
         const RequestHistory::Attempt& last = q.history.attempts().back();
-        const SendVerdict verdict = rules_.judge_send(k, q.history, {last.zone, last.cell}, now_);
-        if (verdict != SendVerdict::allowed) return finish(q, EndCause::repeat_not_allowed);
-        if (now_ >= q.latest_start) return finish(q, EndCause::too_late_for_a_repeat);
+        const SendVerdict verdict = rules_.check_send(k, q.history, {last.zone, last.cell}, now_);
+        if (verdict != SendVerdict::allowed) return finish(q, RejectionReason::retry_not_allowed);
+        if (now_ >= q.latest_start) return finish(q, RejectionReason::too_late_to_retry);
         // Turned away among fast answers: another host may well take it, and no work is added.
-        const bool spare = !q.history.may_have_run() && fast(seconds(k.aim));
-        if (!spare && !take_retry()) return finish(q, EndCause::retry_budget_spent);
+        const bool spare = !q.history.may_have_run() && fast(seconds(k.latency_objective));
+        if (!spare && !take_retry()) return finish(q, RejectionReason::retry_budget_exhausted);
         dispatch(q);
     }
     bool take_retry() {
@@ -884,7 +891,7 @@
     // Expected answers are missing: a second copy, or where none may be out a cancel, and the host is
     // ejected. Guards against silent death, cut links, stalls; harms a slow lone request.
     void check(Request& q) {
-        if (q.history.out() == 0 || q.waiting) return;
+        if (q.history.in_flight() == 0 || q.waiting) return;
         if (stalled()) return timer(beat_period, q.arrival.id, TimerKind::check);
         const auto it = hosts_.find(q.last_host);
         if (it == hosts_.end()) return;
@@ -893,22 +900,23 @@
         const double missing = h.out * quiet / std::max(h.answer_s > 0 ? h.answer_s : answer_s_, 1e-3);
         if (missing < silent_answers || quiet < check_earliest * aim_s()) return;
         fail(h, eject_after);
-        const bool safe = class_of(q).effect == Effect::safe;
+        const bool safe = class_of(q).idempotency == Idempotency::idempotent;
         if (!safe || q.history.count() >= s_.max_attempts || now_ >= q.latest_start) return;
-        if (s_.second_copies && take_retry()) {
-            q.next_attempt = AttemptCause::second_copy;
+        if (s_.may_hedge && take_retry()) {
+            q.next_attempt = AttemptReason::hedge;
             try_send(q);
-        } else if (!s_.second_copies && s_.may_cancel)
+        } else if (!s_.may_hedge && s_.may_cancel)
             actions_->push_back(CancelAttempt{q.arrival.id, q.history.count() - 1});
     }
 
     // Nobody waits for its attempts any more. Guards against hosts that work on for clients who have left;
     // harms by a handshake for each connection that ends with them.
-    void on(const ClientLeft& e) {
+    void on(const ClientDisconnected& e) {
         const auto it = requests_.find(e.id);
         if (it == requests_.end()) return;
         const RequestHistory& history = it->second.history;
-        for (int attempt = 0; history.out() > 0 && s_.may_cancel && attempt < history.count(); ++attempt)
+        for (int attempt = 0; history.in_flight() > 0 && s_.may_cancel && attempt < history.count();
+             ++attempt)
             actions_->push_back(CancelAttempt{e.id, attempt});
         forget(it->second);
     }
@@ -917,7 +925,7 @@
 
     void on(const HostsChanged& e) {
         for (auto& [name, h] : hosts_)
-            if (e.whole_list) h.entry.state = HostState::gone, gone_.insert(name);
+            if (e.complete_list) h.entry.state = HostState::gone, gone_.insert(name);
         for (const HostEntry& entry : e.entries) {
             auto [it, fresh] = hosts_.try_emplace(entry.host);
             Host& h = it->second;
@@ -933,7 +941,7 @@
             else gone_.erase(entry.host);
             note_warmth(h);
         }
-        if (e.whole_list)
+        if (e.complete_list)
             for (const std::string& name : gone_) note_warmth(hosts_.at(name));
         // The first one is the list known at the start, of any age.
         if (std::exchange(knows_a_list_, true)) lists_heard_at_ = now_;
@@ -964,8 +972,8 @@
     // meanwhile, and the list tells so late or never. Harms by a cold time for one that was not restarted.
     void on(const HostBanned& e) {
         if (e.banned ? !banned_.insert(e.host).second : banned_.erase(e.host) == 0) return;
-        if (!e.banned && s_.cold_time > 0us) put_back_[e.host] = now_;
-        std::erase_if(put_back_, [this](const auto& b) { return now_ - b.second > s_.cold_time; });
+        if (!e.banned && s_.slow_start_time > 0us) put_back_[e.host] = now_;
+        std::erase_if(put_back_, [this](const auto& b) { return now_ - b.second > s_.slow_start_time; });
         if (const auto it = hosts_.find(e.host); it != hosts_.end()) {
             Host& h = it->second;
             if (e.banned) h.banned = true;
@@ -998,8 +1006,8 @@
         list_hosts();
     }
     void note_warmth(Host& h) {
-        const bool cold_once = h.entry.started > 0us && s_.cold_time > 0us;
-        warm_.update(h, cold_once ? h.entry.started + s_.cold_time : 0us, now_);
+        const bool cold_once = h.entry.started > 0us && s_.slow_start_time > 0us;
+        warm_.update(h, cold_once ? h.entry.started + s_.slow_start_time : 0us, now_);
     }
     void list_hosts() {
         order_.restart();
@@ -1108,7 +1116,7 @@
     // lease is refused. Guards against two processes that spend one quota; harms those few requests.
     void on(const HandedOver& e) {
         if (!std::exchange(handed_, e.away) && e.away) {
-            actions_->push_back(LeaveState{state()});
+            actions_->push_back(SaveSnapshot{state()});
             ledgers_.clear(), leases_due_.clear();
             std::vector<RequestId> lack;
             for (auto& [name, c] : customers_) {
@@ -1121,7 +1129,7 @@
             std::sort(lack.begin(), lack.end());
             for (const RequestId id : lack)
                 if (const auto it = requests_.find(id); it != requests_.end())
-                    refuse(it->second, 0us, EndCause::handed_over);
+                    refuse(it->second, 0us, RejectionReason::handed_over);
         }
         // Taken back: as after a start, a former life may have spent all that is not left here.
         if (!e.away) boot_ = now_;
@@ -1139,7 +1147,7 @@
         w(hosts_, ledgers_, customers_);
         return w.take();
     }
-    void on(const StateLeft& e) {
+    void on(const RestoreSnapshot& e) {
         try {
             take_over(e.bytes);
         } catch (const std::out_of_range&) {
@@ -1207,13 +1215,13 @@
         const auto it = requests_.find(about);
         if (it == requests_.end()) return pump();
         Request& q = it->second;
-        if (kind == TimerKind::deadline) finish(q, EndCause::deadline);
+        if (kind == TimerKind::deadline) finish(q, RejectionReason::deadline_exceeded);
         else if (kind == TimerKind::release) dispatch(q);
         else if (kind == TimerKind::expiry && q.waiting) q.rounds = 0, dispatch(q);
         // A grant that comes later would find it too late to leave. Guards against lost requests and slow
         // homes that hold a refusal back until the client is about to give up.
         else if (kind == TimerKind::expiry && !q.admitted && now_ >= q.latest_start)
-            finish(q, EndCause::no_quota_in_time);
+            finish(q, RejectionReason::no_lease_in_time);
         else if (kind == TimerKind::check) check(q);
         else if (kind == TimerKind::probe && q.probing) choose(q);
         pump();
--- a/src/decision/names.cpp
+++ b/src/decision/names.cpp
@@ -3,56 +3,56 @@
 
 namespace gateway::decision {
 
-const char* name_of(AttemptCause cause) {
-    switch (cause) {
-        case AttemptCause::first:
+const char* to_string(AttemptReason reason) {
+    switch (reason) {
+        case AttemptReason::first:
             return "first";
-        case AttemptCause::retry:
+        case AttemptReason::retry:
             return "retry";
-        case AttemptCause::second_copy:
-            return "second_copy";
+        case AttemptReason::hedge:
+            return "hedge";
     }
     return "unknown";
 }
 
-const char* name_of(EndCause cause) {
-    switch (cause) {
-        case EndCause::expired_on_arrival:
+const char* to_string(RejectionReason reason) {
+    switch (reason) {
+        case RejectionReason::expired_on_arrival:
             return "expired_on_arrival";
-        case EndCause::handed_over:
+        case RejectionReason::handed_over:
             return "handed_over";
-        case EndCause::over_quota:
+        case RejectionReason::over_quota:
             return "over_quota";
-        case EndCause::over_open_cap:
-            return "over_open_cap";
-        case EndCause::paced:
-            return "paced";
-        case EndCause::queue_full:
+        case RejectionReason::over_concurrency_limit:
+            return "over_concurrency_limit";
+        case RejectionReason::warm_up_limit:
+            return "warm_up_limit";
+        case RejectionReason::queue_full:
             return "queue_full";
-        case EndCause::no_host_in_time:
-            return "no_host_in_time";
-        case EndCause::no_quota_in_time:
-            return "no_quota_in_time";
-        case EndCause::repeat_not_allowed:
-            return "repeat_not_allowed";
-        case EndCause::retry_budget_spent:
-            return "retry_budget_spent";
-        case EndCause::too_late_for_a_repeat:
-            return "too_late_for_a_repeat";
-        case EndCause::deadline:
-            return "deadline";
+        case RejectionReason::no_host_available:
+            return "no_host_available";
+        case RejectionReason::no_lease_in_time:
+            return "no_lease_in_time";
+        case RejectionReason::retry_not_allowed:
+            return "retry_not_allowed";
+        case RejectionReason::retry_budget_exhausted:
+            return "retry_budget_exhausted";
+        case RejectionReason::too_late_to_retry:
+            return "too_late_to_retry";
+        case RejectionReason::deadline_exceeded:
+            return "deadline_exceeded";
     }
     return "unknown";
 }
 
-const char* name_of(Outcome outcome) {
+const char* to_string(Outcome outcome) {
     switch (outcome) {
-        case Outcome::good:
-            return "good";
+        case Outcome::success:
+            return "success";
         case Outcome::error:
             return "error";
-        case Outcome::full:
-            return "full";
+        case Outcome::rejected:
+            return "rejected";
         case Outcome::timeout:
             return "timeout";
         case Outcome::connect_failed:
@@ -61,8 +61,8 @@
             return "reset";
         case Outcome::cancelled:
             return "cancelled";
-        case Outcome::moot:
-            return "moot";
+        case Outcome::not_sent:
+            return "not_sent";
     }
     return "unknown";
 }
--- a/src/decision/records.h
+++ b/src/decision/records.h
@@ -92,7 +92,7 @@
     bool in_quota = true, admitted = false, sent = false, waiting = false, probing = false;
     int kind = 0, rounds = 0, probes_out = 0;  // kind: class and plan
     RequestHistory history;
-    AttemptCause next_attempt = AttemptCause::first;
+    AttemptReason next_attempt = AttemptReason::first;
     std::vector<Host*> pair;
     Micros last_sent{0};
     std::string last_host;
--- a/src/decision/rule_guard.cpp
+++ b/src/decision/rule_guard.cpp
@@ -6,19 +6,19 @@
 constexpr Micros lost_after = std::chrono::milliseconds(500);
 
 bool crosses_an_end(SendVerdict verdict) {
-    return verdict == SendVerdict::already_answered || verdict == SendVerdict::expired;
+    return verdict == SendVerdict::already_completed || verdict == SendVerdict::expired;
 }
 }  // namespace
 
 std::uint64_t RuleGuard::Violations::total() const {
     std::uint64_t sum = refusals + late_answers + unanswered;
-    for (std::size_t verdict = 0; verdict < send_verdicts; ++verdict)
+    for (std::size_t verdict = 0; verdict < send_verdict_count; ++verdict)
         if (!crosses_an_end(static_cast<SendVerdict>(verdict))) sum += sends[verdict];
     return sum;
 }
 
 void RuleGuard::hosts_changed(const HostsChanged& change) {
-    if (change.whole_list)
+    if (change.complete_list)
         for (auto& [name, host] : hosts_) host.leaving = true;
     for (const HostEntry& entry : change.entries) {
         ListedHost& host = hosts_[entry.host];
@@ -36,11 +36,11 @@
 }
 
 SendVerdict RuleGuard::judge(const Tracked* request, const ListedHost* host, Micros now) const {
-    if (request == nullptr || request->over) return SendVerdict::already_answered;
+    if (request == nullptr || request->over) return SendVerdict::already_completed;
     if (now >= request->deadline) return SendVerdict::expired;
-    if (host == nullptr || host->leaving || host->banned) return SendVerdict::host_leaving;
+    if (host == nullptr || host->leaving || host->banned) return SendVerdict::host_draining;
     const RequestClass& request_class = settings_.classes[static_cast<std::size_t>(request->request_class)];
-    return rules_.judge_send(request_class, request->history, {host->zone, host->cell}, now);
+    return rules_.check_send(request_class, request->history, {host->zone, host->cell}, now);
 }
 SendVerdict RuleGuard::begin_attempt(RequestId id, int number, const std::string& host, Micros now) {
     const auto request = requests_.find(id);
--- a/src/json/settings.cpp
+++ b/src/json/settings.cpp
@@ -7,22 +7,22 @@
     RequestClass c;
     c.name = as_text(required(o, "name"), "name");
     const std::string_view effect = as_text(required(o, "effect"), "effect");
-    if (effect == "retryable") c.effect = Effect::safe;
-    else if (effect == "dedup") c.effect = Effect::keyed;
-    else if (effect == "fragile") c.effect = Effect::unsafe;
+    if (effect == "retryable") c.idempotency = Idempotency::idempotent;
+    else if (effect == "dedup") c.idempotency = Idempotency::with_key;
+    else if (effect == "fragile") c.idempotency = Idempotency::not_idempotent;
     else bad("effect", "retryable, dedup or fragile");
     if (auto scope = optional_key(o, "dedupScope")) {
         const std::string_view name = as_text(*scope, "dedupScope");
-        c.repeat_scope = name == "all"    ? RepeatScope::all
-                         : name == "zone" ? RepeatScope::zone
-                                          : RepeatScope::cell;
+        c.deduplication_scope = name == "all"    ? DeduplicationScope::all
+                                : name == "zone" ? DeduplicationScope::zone
+                                                 : DeduplicationScope::cell;
     }
     c.deadline = Micros(as_integer(required(o, "deadlineUs"), "deadlineUs"));
-    c.aim = c.deadline;
-    read(o, "promiseUs", c.aim);
-    read(o, "repeatWindowUs", c.repeat_window);
-    read(o, "value", c.worth);
-    read(o, "lateWorth", c.late_worth);
+    c.latency_objective = c.deadline;
+    read(o, "promiseUs", c.latency_objective);
+    read(o, "repeatWindowUs", c.deduplication_window);
+    read(o, "value", c.priority_weight);
+    read(o, "lateWorth", c.late_weight_share);
     return c;
 }
 
@@ -31,12 +31,12 @@
     p.name = as_text(required(o, "name"), "name");
     read(o, "rate", p.rate);
     read(o, "mostAtOnce", p.burst);
-    read(o, "maxOut", p.max_open);
-    read(o, "worthFactor", p.worth_factor);
-    read(o, "excessWorth", p.excess_worth);
-    read(o, "excessCost", p.excess_cost);
-    read(o, "hardRate", p.hard_rate);
-    read(o, "hardBurst", p.hard_burst);
+    read(o, "maxOut", p.max_concurrency);
+    read(o, "worthFactor", p.weight_factor);
+    read(o, "excessWorth", p.excess_weight_share);
+    read(o, "excessCost", p.excess_cost_share);
+    read(o, "hardRate", p.ceiling_rate);
+    read(o, "hardBurst", p.ceiling_burst);
     return p;
 }
 }  // namespace
@@ -53,17 +53,17 @@
             s.plans.push_back(read_plan(as_object(e, "tiersOfService[]")));
     const object limits = as_object(required(o, "ceilings"), "ceilings");
     read(limits, "maxAttempts", s.max_attempts);
-    read(limits, "connectTimeoutUs", s.connect_time);
-    read(limits, "mayDuplicate", s.second_copies);
+    read(limits, "connectTimeoutUs", s.connect_timeout);
+    read(limits, "mayDuplicate", s.may_hedge);
     read(limits, "cancel", s.may_cancel);
-    read(limits, "probes", s.may_probe);
-    read(limits, "peers", s.may_message);
-    read(limits, "retryAfter", s.may_advise_retry);
+    read(limits, "probes", s.may_check_health);
+    read(limits, "peers", s.may_message_peers);
+    read(limits, "retryAfter", s.may_send_retry_after);
     read(limits, "maxRetryAfterUs", s.max_retry_after);
     if (auto e = optional_key(o, "familyInfo")) {
         const object info = as_object(*e, "familyInfo");
         read(info, "mailPerS", s.messages_per_s);
-        read(info, "unitsTop", s.most_units);
+        read(info, "unitsTop", s.max_units);
         read(info, "truedUp", s.units_settled_later);
     }
     if (auto e = optional_key(o, "reporting")) {
@@ -74,10 +74,10 @@
                                         : LoadReports::none;
     }
     const object rules = as_object(required(o, "guarantees"), "guarantees");
-    read(rules, "coldUs", s.cold_time);
-    read(rules, "fallUs", s.fall_time);
-    read(rules, "overloadFactor", s.fall_multiple);
-    read(rules, "startCapacity", s.start_capacity);
+    read(rules, "coldUs", s.slow_start_time);
+    read(rules, "fallUs", s.overload_time);
+    read(rules, "overloadFactor", s.overload_multiple);
+    read(rules, "startCapacity", s.slow_start_capacity);
     read(o, "tickUs", s.tick);
     if (auto e = optional_key(o, "costs")) read(as_object(*e, "costs"), "crossZone", s.cross_zone_cost);
     return s;
--- a/src/server/causes.cpp
+++ b/src/server/causes.cpp
@@ -2,7 +2,7 @@
 
 namespace gateway::server {
 
-const char* name_of(HostOutcome outcome) {
+const char* to_string(HostOutcome outcome) {
     switch (outcome) {
         case HostOutcome::served:
             return "served";
@@ -26,7 +26,7 @@
     return "unknown";
 }
 
-const char* name_of(HostClose cause) {
+const char* to_string(HostClose cause) {
     switch (cause) {
         case HostClose::exchange_failed:
             return "exchange_failed";
@@ -48,7 +48,7 @@
     return "unknown";
 }
 
-const char* name_of(ClientClose cause) {
+const char* to_string(ClientClose cause) {
     switch (cause) {
         case ClientClose::client_left:
             return "client_left";
--- a/src/server/causes.h
+++ b/src/server/causes.h
@@ -17,7 +17,7 @@
                 // fault
 };
 
-const char* name_of(HostOutcome outcome);
+const char* to_string(HostOutcome outcome);
 
 // Why a connection to a host has ended.
 enum class HostClose {
@@ -30,7 +30,7 @@
     handed_over,    // to the next process of an upgrade
     shut_down,      // with this process
 };
-const char* name_of(HostClose cause);
+const char* to_string(HostClose cause);
 
 // Why a client's connection has ended.
 enum class ClientClose {
@@ -45,6 +45,6 @@
     handed_over,    // to the next process of an upgrade
     shut_down,      // with this process
 };
-const char* name_of(ClientClose cause);
+const char* to_string(ClientClose cause);
 
 }  // namespace gateway::server
--- a/src/server/client_server.cpp
+++ b/src/server/client_server.cpp
@@ -527,7 +527,7 @@
 void ClientServer::note_closed(ClientClose cause, std::uint64_t connection, std::uint64_t request) {
     LogLine(LogLevel::debug, "client_closed")
         .with("connection", connection)
-        .with("cause", name_of(cause))
+        .with("cause", to_string(cause))
         .with("request", request);
     if (callbacks_.on_closed) callbacks_.on_closed(cause, request);
 }
--- a/src/server/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -281,7 +281,7 @@
             begun_ = true;
             HostResult result;
             result.outcome = HostOutcome::served;
-            result.took = took_ =
+            result.elapsed = took_ =
                 std::chrono::duration_cast<std::chrono::microseconds>(Steady::now() - since_);
             result.answer.base() = parser_->get().base();
             result.answer.body() = std::exchange(body, {});
@@ -339,10 +339,10 @@
         const auto load = answer["Endpoint-Load-Metrics"];
         result.load_report.assign(load.data(), load.size());
         const unsigned status = answer.result_int();
-        const bool never_ran = (status == 503 || status == 504) && answer["X-Never-Ran"] == "1";
-        result.outcome = status == 200 ? HostOutcome::served
-                         : never_ran   ? HostOutcome::full
-                                       : HostOutcome::error;
+        const bool not_executed = (status == 503 || status == 504) && answer["X-Never-Ran"] == "1";
+        result.outcome = status == 200  ? HostOutcome::served
+                         : not_executed ? HostOutcome::full
+                                        : HostOutcome::error;
         const bool again = known_end && state_ == State::waiting && answer.keep_alive() &&
                            unread_.size() == 0 && silent() && host_->takes_new() &&
                            host_->endpoint == endpoint_;
@@ -357,7 +357,7 @@
         const auto self = shared_from_this();
         pool_.busy_.erase(self);
         const auto now = Steady::now();
-        result.took = begun_ ? took_ : std::chrono::duration_cast<std::chrono::microseconds>(now - since_);
+        result.elapsed = begun_ ? took_ : std::chrono::duration_cast<std::chrono::microseconds>(now - since_);
         parser_.reset();
         if (again) {
             state_ = State::idle;
@@ -425,7 +425,7 @@
 }
 
 void HostPool::note_closed(HostClose cause, const std::string& uid) {
-    LogLine(LogLevel::debug, "host_connection_closed").with("cause", name_of(cause)).with("host", uid);
+    LogLine(LogLevel::debug, "host_connection_closed").with("cause", to_string(cause)).with("host", uid);
     if (callbacks_.on_closed) callbacks_.on_closed(cause);
 }
 
--- a/src/server/host_pool.h
+++ b/src/server/host_pool.h
@@ -23,7 +23,7 @@
 
 struct HostResult {
     HostOutcome outcome = HostOutcome::error;
-    std::chrono::microseconds took{0};
+    std::chrono::microseconds elapsed{0};
     Answer answer;            // whole where served; the last piece of a long one
     std::string load_report;  // as the host wrote it; empty: none
 };
--- a/src/server/metrics.cpp
+++ b/src/server/metrics.cpp
@@ -37,9 +37,9 @@
     add_all(text, "api_gateway_client_connections_closed_total", "cause", client_closes_);
     add_all(text, "api_gateway_host_connections_closed_total", "cause", host_closes_);
     add_type(text, "api_gateway_sends_held_back_total");
-    for (std::size_t verdict = 1; verdict < decision::send_verdicts; ++verdict)
+    for (std::size_t verdict = 1; verdict < decision::send_verdict_count; ++verdict)
         add_row(text, "api_gateway_sends_held_back_total", "verdict",
-                decision::name_of(static_cast<decision::SendVerdict>(verdict)), violations.sends[verdict]);
+                decision::to_string(static_cast<decision::SendVerdict>(verdict)), violations.sends[verdict]);
     add(text, "api_gateway_refusals_held_back_total", violations.refusals);
     add(text, "api_gateway_late_answers_total", violations.late_answers);
     add(text, "api_gateway_closed_unanswered_total", violations.unanswered);
--- a/src/server/metrics.h
+++ b/src/server/metrics.h
@@ -17,12 +17,12 @@
     void request_received() { ++requests_; }
     void request_rejected() { ++rejected_; }
     void answered(unsigned status) { ++answers_[status]; }
-    void refused(decision::EndCause cause) { ++refusals_[decision::name_of(cause)]; }
-    void failed(decision::EndCause cause) { ++failures_[decision::name_of(cause)]; }
-    void attempt_begun(decision::AttemptCause cause) { ++attempts_begun_[decision::name_of(cause)]; }
-    void attempt_ended(HostOutcome outcome) { ++attempts_ended_[name_of(outcome)]; }
-    void client_closed(ClientClose cause) { ++client_closes_[name_of(cause)]; }
-    void host_closed(HostClose cause) { ++host_closes_[name_of(cause)]; }
+    void refused(decision::RejectionReason cause) { ++refusals_[decision::to_string(cause)]; }
+    void failed(decision::RejectionReason cause) { ++failures_[decision::to_string(cause)]; }
+    void attempt_begun(decision::AttemptReason cause) { ++attempts_begun_[decision::to_string(cause)]; }
+    void attempt_ended(HostOutcome outcome) { ++attempts_ended_[to_string(outcome)]; }
+    void client_closed(ClientClose cause) { ++client_closes_[to_string(cause)]; }
+    void host_closed(HostClose cause) { ++host_closes_[to_string(cause)]; }
 
     // In the text format of Prometheus.
     std::string text(const decision::RuleGuard::Violations& violations) const;
--- a/src/server/request_check.cpp
+++ b/src/server/request_check.cpp
@@ -26,10 +26,11 @@
 
 RequestCheck::RequestCheck(const decision::Settings& settings)
     : instances_(settings.instances),
-      most_units_(settings.most_units > 0 ? settings.most_units : std::numeric_limits<double>::max()) {
+      most_units_(settings.max_units > 0 ? settings.max_units : std::numeric_limits<double>::max()) {
     for (std::size_t i = 0; i < settings.classes.size(); ++i) {
         const auto& c = settings.classes[i];
-        classes_.emplace(c.name, Class{static_cast<int>(i), c.effect == decision::Effect::safe, c.deadline});
+        classes_.emplace(c.name, Class{static_cast<int>(i),
+                                       c.idempotency == decision::Idempotency::idempotent, c.deadline});
     }
     for (std::size_t i = 0; i < settings.plans.size(); ++i)
         plans_.emplace(settings.plans[i].name, static_cast<int>(i));
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -52,11 +52,11 @@
 decision::Outcome outcome_of(HostOutcome outcome) {
     switch (outcome) {
         case HostOutcome::served:
-            return decision::Outcome::good;
+            return decision::Outcome::success;
         case HostOutcome::error:
             return decision::Outcome::error;
         case HostOutcome::full:
-            return decision::Outcome::full;
+            return decision::Outcome::rejected;
         case HostOutcome::connect_failed:
             return decision::Outcome::connect_failed;
         case HostOutcome::reset:
@@ -67,7 +67,7 @@
             return decision::Outcome::cancelled;
         case HostOutcome::withdrawn:
         case HostOutcome::not_begun:
-            return decision::Outcome::moot;
+            return decision::Outcome::not_sent;
     }
     return decision::Outcome::error;
 }
@@ -78,7 +78,7 @@
                                               : decision::HostState::gone;
 }
 
-const char* name_of(EndpointState state) {
+const char* to_string(EndpointState state) {
     return state == EndpointState::ready ? "ready" : state == EndpointState::draining ? "draining" : "gone";
 }
 void log_list(const EndpointList& list) {
@@ -90,7 +90,7 @@
     for (const Endpoint& endpoint : list.endpoints)
         LogLine(LogLevel::debug, "host_listed")
             .with("host", endpoint.uid)
-            .with("state", name_of(endpoint.state))
+            .with("state", to_string(endpoint.state))
             .with("boot_ms", endpoint.boot_ms);
 }
 
@@ -222,11 +222,11 @@
 void Runtime::serve(Upgrade::Left&& left) {
     if (left.sockets_kept > 0) budget_.set_most(sockets_ - std::min(left.sockets_kept, sockets_ / 2));
     for (const HandoverMessage& fact : left.facts) told(fact);
-    if (!left.state.empty()) feed(decision::StateLeft{std::move(left.state)});
+    if (!left.state.empty()) feed(decision::RestoreSnapshot{std::move(left.state)});
     const auto on_message = [this](int from, std::string_view bytes) {
         feed(decision::MessageArrived{from, std::string(bytes)});
     };
-    if (config_.peer_listen && settings_.may_message)
+    if (config_.peer_listen && settings_.may_message_peers)
         peers_ = bound("peer_listen", [&] {
             if (left.peers)
                 return std::make_unique<PeerLink>(io_, *config_.peer_listen, left.peers.release(),
@@ -277,7 +277,7 @@
     budget_.set_most(kept);
     std::string().swap(left_state_);
 }
-void Runtime::carry_out(decision::LeaveState& action) { left_state_ = std::move(action.bytes); }
+void Runtime::carry_out(decision::SaveSnapshot& action) { left_state_ = std::move(action.bytes); }
 // Also while this process is draining: nobody else serves what comes meanwhile.
 void Runtime::take_back() {
     budget_.set_most(sockets_);
@@ -348,36 +348,36 @@
         .with("request", action.id)
         .with("trace", live.trace)
         .with("attempt", attempt)
-        .with("cause", name_of(action.cause))
+        .with("cause", to_string(action.reason))
         .with("host", action.host)
         .with("left", left)
-        .with("verdict", name_of(verdict));
+        .with("verdict", to_string(verdict));
     if (verdict != decision::SendVerdict::allowed) return end_unsent(action, attempt, live.answered);
-    metrics_.attempt_begun(action.cause);
+    metrics_.attempt_begun(action.reason);
     ++live.out;
     pool_->attempt({action.id, attempt}, action.host, live.message,
-                   action.within > 0us ? std::min(action.within, left) : left);
+                   action.timeout > 0us ? std::min(action.timeout, left) : left);
 }
 void Runtime::end_unsent(const decision::SendAttempt& action, int attempt, bool answered) {
     feed(decision::AttemptEnded{
-        action.id, attempt, action.host, decision::Outcome::moot, 0us, answered, 0, {}});
+        action.id, attempt, action.host, decision::Outcome::not_sent, 0us, answered, 0, {}});
 }
-void Runtime::carry_out(decision::Refuse& action) {
+void Runtime::carry_out(decision::RejectRequest& action) {
     const auto it = live_.find(action.id);
     if (it == live_.end() || it->second.answered) return;
     if (!guard_.may_refuse(action.id)) {
         LogLine(LogLevel::error, "refusal_held_back")
             .with("request", action.id)
             .with("trace", it->second.trace);
-        decision::Fail fail{action.id, action.cause};
+        decision::FailRequest fail{action.id, action.reason};
         return carry_out(fail);
     }
     LogLine(LogLevel::debug, "refused")
         .with("request", action.id)
         .with("trace", it->second.trace)
-        .with("cause", name_of(action.cause))
+        .with("cause", to_string(action.reason))
         .with("retry_after", action.retry_after);
-    metrics_.refused(action.cause);
+    metrics_.refused(action.reason);
     Answer answer = make_answer(it->second.attempts == 0 ? http::status::too_many_requests
                                                          : http::status::service_unavailable);
     if (action.retry_after > 0us) {
@@ -388,21 +388,21 @@
     }
     finish(it, std::move(answer));
 }
-void Runtime::carry_out(decision::Fail& action) {
+void Runtime::carry_out(decision::FailRequest& action) {
     const auto it = live_.find(action.id);
     if (it == live_.end() || it->second.answered) return;
     LogLine(LogLevel::debug, "failed")
         .with("request", action.id)
         .with("trace", it->second.trace)
-        .with("cause", name_of(action.cause));
-    metrics_.failed(action.cause);
+        .with("cause", to_string(action.reason));
+    metrics_.failed(action.reason);
     finish(it, make_answer(http::status::gateway_timeout));
 }
 void Runtime::carry_out(decision::CancelAttempt& action) {
     LogLine(LogLevel::debug, "attempt_cancelled").with("request", action.id).with("attempt", action.attempt);
     pool_->cancel({action.id, action.attempt});
 }
-void Runtime::carry_out(decision::ProbeHost& action) { pool_->probe(action.host); }
+void Runtime::carry_out(decision::CheckHealth& action) { pool_->probe(action.host); }
 void Runtime::carry_out(decision::SetTimer& action) {
     // On the grid of the tick, as in the simulator: timers that fall close together cost one wake-up.
     const Micros tick = std::max(settings_.tick, 1us), when = clock_.now() + std::max(action.from_now, 1us);
@@ -497,7 +497,7 @@
     if (it->second.answered) return;
     LogLine(LogLevel::debug, "client_left").with("request", id).with("trace", it->second.trace);
     guard_.client_left(id);
-    feed_before(decision::ClientLeft{id}, [&] { close(it); });
+    feed_before(decision::ClientDisconnected{id}, [&] { close(it); });
 }
 
 // A connection that this side closes with a request in hand leaves that without an answer.
@@ -511,7 +511,7 @@
     LogLine(LogLevel::error, "closed_unanswered")
         .with("request", request)
         .with("trace", it->second.trace)
-        .with("cause", name_of(cause));
+        .with("cause", to_string(cause));
 }
 
 // ---- hosts ----
@@ -528,8 +528,8 @@
         .with("trace", live.trace)
         .with("attempt", key.attempt)
         .with("host", uid)
-        .with("outcome", name_of(result.outcome))
-        .with("took", result.took);
+        .with("outcome", to_string(result.outcome))
+        .with("took", result.elapsed);
     const bool serves = result.outcome == HostOutcome::served && !live.answered;
     if (live.passing_on == key.attempt) {
         live.passing_on = -1;
@@ -538,7 +538,7 @@
         else clients_->break_answer(key.request);
     }
     decision::AttemptEnded event{
-        key.request, key.attempt, uid, outcome_of(result.outcome), result.took, live.answered || serves,
+        key.request, key.attempt, uid, outcome_of(result.outcome), result.elapsed, live.answered || serves,
         0,           {}};
     if (!result.load_report.empty()) event.report = read_load_report(result.load_report);
     feed_before(std::move(event), [&] {
@@ -555,13 +555,13 @@
     LogLine(LogLevel::debug, "answer_begun").with("request", key.request).with("trace", it->second.trace);
     metrics_.answered(result.answer.result_int());
     guard_.answered(key.request, clock_.now());
-    feed_before(decision::AnswerBegun{key.request, uid}, [&] { close(it); });
+    feed_before(decision::ResponseStarted{key.request, uid}, [&] { close(it); });
     clients_->begin_answer(key.request, std::move(result.answer));
     return true;
 }
 
 void Runtime::on_probe(const std::string& uid, HostResult&& result) {
-    decision::ProbeEnded event{uid, outcome_of(result.outcome), result.took, {}};
+    decision::HealthCheckEnded event{uid, outcome_of(result.outcome), result.elapsed, {}};
     if (result.outcome == HostOutcome::served)
         event.report =
             read_load_report(result.load_report.empty() ? result.answer.body() : result.load_report);
@@ -571,7 +571,7 @@
 void Runtime::on_list(const EndpointList& list) {
     if (!list.whole && list.endpoints.empty()) return;  // a watch that ended with no news
     decision::HostsChanged event;
-    event.whole_list = list.whole;
+    event.complete_list = list.whole;
     if (list.whole) ready_hosts_.clear();
     std::unordered_set<std::string_view> named;
     for (const Endpoint& t : list.endpoints) {
@@ -661,7 +661,7 @@
 void Runtime::give_up(LiveAt live) {
     const std::uint64_t id = live->first;
     finish(live, make_answer(http::status::gateway_timeout));
-    feed(decision::ClientLeft{id});
+    feed(decision::ClientDisconnected{id});
 }
 
 // ---- the end ----
--- a/src/server/runtime.h
+++ b/src/server/runtime.h
@@ -72,10 +72,10 @@
     void feed_before(decision::Event&& event, Consequence consequence);
     void handle_all();
     void carry_out(decision::SendAttempt& action);
-    void carry_out(decision::Refuse& action);
-    void carry_out(decision::Fail& action);
+    void carry_out(decision::RejectRequest& action);
+    void carry_out(decision::FailRequest& action);
     void carry_out(decision::CancelAttempt& action);
-    void carry_out(decision::ProbeHost& action);
+    void carry_out(decision::CheckHealth& action);
     void carry_out(decision::SetTimer& action);
     void carry_out(decision::SendMessage& action);
 
@@ -94,7 +94,7 @@
     void adopt(HandoverMessage&& connection);
     void told(const HandoverMessage& fact);
     void first_told();
-    void carry_out(decision::LeaveState& action);
+    void carry_out(decision::SaveSnapshot& action);
     void ban(const std::string& uid, bool banned);
     using LiveAt = std::unordered_map<std::uint64_t, Live>::iterator;
     void finish(LiveAt live, Answer&& answer);
--- a/src/simulator_adapter/simulator_wire.cpp
+++ b/src/simulator_adapter/simulator_wire.cpp
@@ -21,14 +21,14 @@
 
 Outcome read_outcome(std::string_view status) {
     static constexpr std::array<std::pair<std::string_view, Outcome>, 8> names{
-        {{"GOOD", Outcome::good},
+        {{"GOOD", Outcome::success},
          {"BAD", Outcome::error},
-         {"FULL", Outcome::full},
+         {"FULL", Outcome::rejected},
          {"LATE", Outcome::timeout},
          {"NOCONN", Outcome::connect_failed},
          {"RST", Outcome::reset},
          {"CXL", Outcome::cancelled},
-         {"NOP", Outcome::moot}}};
+         {"NOP", Outcome::not_sent}}};
     for (const auto& [name, outcome] : names)
         if (name == status) return outcome;
     bad("status", "GOOD, BAD, FULL, LATE, NOCONN, RST, CXL or NOP");
@@ -244,9 +244,9 @@
             a.attempt = static_cast<int>(as_integer(f.get(2, "sendNo"), "sendNo"));
             a.host = as_text(f.get(3, "host"), "host");
             a.outcome = read_outcome(as_text(f.get(4, "status"), "status"));
-            if (f.present(5)) a.took = Micros(as_integer(f.at[5], "timeTakenUs"));
-            a.settled = as_bool(f.get(6, "settled"), "settled");
-            if (f.present(8)) a.true_units = as_number(f.at[8], "actual");
+            if (f.present(5)) a.elapsed = Micros(as_integer(f.at[5], "timeTakenUs"));
+            a.request_completed = as_bool(f.get(6, "settled"), "settled");
+            if (f.present(8)) a.actual_units = as_number(f.at[8], "actual");
             a.report = read_report(f, 9);
             return feed(number, instance, a);
         }
@@ -254,7 +254,7 @@
             instances.erase(found);
             return;
         case Kind::gone:
-            return feed(number, instance, ClientLeft{as_unsigned(f.get(1, "xid"), "xid")});
+            return feed(number, instance, ClientDisconnected{as_unsigned(f.get(1, "xid"), "xid")});
         case Kind::peer: {
             const auto bytes = from_base64(as_text(f.get(2, "bytes"), "bytes"));
             if (!bytes) bad("bytes", "padded base64");
@@ -262,10 +262,10 @@
             return feed(number, instance, MessageArrived{from, *bytes});
         }
         case Kind::ping: {
-            ProbeEnded p;
+            HealthCheckEnded p;
             p.host = as_text(f.get(1, "host"), "host");
             p.outcome = read_outcome(as_text(f.get(2, "status"), "status"));
-            if (f.present(3)) p.took = Micros(as_integer(f.at[3], "timeTakenUs"));
+            if (f.present(3)) p.elapsed = Micros(as_integer(f.at[3], "timeTakenUs"));
             p.report = read_report(f, 4);
             return feed(number, instance, p);
         }
@@ -295,14 +295,14 @@
             s.open("Send", number);
             s.put(a.id);
             s.put(a.host);
-            s.put(static_cast<std::uint64_t>(a.within.count()));
+            s.put(static_cast<std::uint64_t>(a.timeout.count()));
         }
-        void operator()(const Refuse& a) const {
+        void operator()(const RejectRequest& a) const {
             s.open("Bounce", number);
             s.put(a.id);
             s.put(static_cast<std::uint64_t>(a.retry_after.count()));
         }
-        void operator()(const Fail& a) const {
+        void operator()(const FailRequest& a) const {
             s.open("DropRequest", number);
             s.put(a.id);
         }
@@ -311,7 +311,7 @@
             s.put(a.id);
             s.put(static_cast<std::uint64_t>(a.attempt));
         }
-        void operator()(const ProbeHost& a) const {
+        void operator()(const CheckHealth& a) const {
             s.open("Test", number);
             s.put(a.host);
         }
@@ -322,7 +322,7 @@
             put_number(s.reply, a.token);
             s.reply.push_back('"');
         }
-        void operator()(const LeaveState&) const {}  // the simulator knows no upgrades
+        void operator()(const SaveSnapshot&) const {}  // the simulator knows no upgrades
         void operator()(const SendMessage& a) const {
             s.open("WritePeer", number);
             if (a.to < 0) s.put(std::string_view("*"));
--- a/tests/decision/gateway_test.cpp
+++ b/tests/decision/gateway_test.cpp
@@ -14,16 +14,16 @@
 namespace {
 Settings one_gateway() {
     Settings s;
-    s.classes = {{"read", Effect::safe, RepeatScope::all, 800ms, 2s, 0us, 1, 0}};
+    s.classes = {{"read", Idempotency::idempotent, DeduplicationScope::all, 800ms, 2s, 0us, 1, 0}};
     s.plans = {{"plan", 2, 4, 0, 1, 0, 1, 0, 0}};
     s.max_attempts = 3;
-    s.second_copies = true;
-    s.may_cancel = s.may_advise_retry = true;
+    s.may_hedge = true;
+    s.may_cancel = s.may_send_retry_after = true;
     s.tick = 4ms;
-    s.cold_time = 10s;
-    s.fall_time = 2s;
-    s.fall_multiple = 2;
-    s.start_capacity = 0.2;
+    s.slow_start_time = 10s;
+    s.overload_time = 2s;
+    s.overload_multiple = 2;
+    s.slow_start_capacity = 0.2;
     return s;
 }
 HostEntry host(const std::string& name, HostState state = HostState::up, std::int64_t cell = 0) {
@@ -78,8 +78,8 @@
     std::vector<Action> end(RequestId id, const std::string& at, Outcome outcome, Micros took,
                             int attempt = 0, bool settled = false) {
         AttemptEnded e;
-        e.id = id, e.host = at, e.outcome = outcome, e.took = took, e.attempt = attempt;
-        e.settled = settled || outcome == Outcome::good;
+        e.id = id, e.host = at, e.outcome = outcome, e.elapsed = took, e.attempt = attempt;
+        e.request_completed = settled || outcome == Outcome::success;
         return feed(e);
     }
 };
@@ -93,7 +93,7 @@
 Settings one_of_two() {
     Settings s = one_gateway();
     s.instances = 2;
-    s.may_message = true;
+    s.may_message_peers = true;
     s.messages_per_s = 60;
     return s;
 }
@@ -106,7 +106,7 @@
 void press(Bench& b) {
     for (RequestId id = 1000; id < 1030; ++id) {
         const auto sent = of<SendAttempt>(b.ask(id, 0, 2s, -1, 0, "rateless"));
-        if (!sent.empty()) b.end(id, sent[0].host, Outcome::good, 700ms);
+        if (!sent.empty()) b.end(id, sent[0].host, Outcome::success, 700ms);
     }
 }
 }  // namespace
@@ -115,10 +115,10 @@
     Bench b(one_gateway());
     b.pass(2s);  // a fresh home starts from half of the burst
     for (RequestId id = 1; id <= 4; ++id) EXPECT_EQ(of<SendAttempt>(b.ask(id)).size(), 1u);
-    const auto refused = of<Refuse>(b.ask(5));
+    const auto refused = of<RejectRequest>(b.ask(5));
     ASSERT_EQ(refused.size(), 1u);
     EXPECT_NEAR(refused[0].retry_after.count(), 500'000, 1000);  // one unit at 2 units a second
-    for (RequestId id = 1; id <= 4; ++id) b.end(id, "a", Outcome::good, 100ms);
+    for (RequestId id = 1; id <= 4; ++id) b.end(id, "a", Outcome::success, 100ms);
     b.pass(501ms);
     EXPECT_EQ(of<SendAttempt>(b.ask(6)).size(), 1u);  // the refusal charged nothing
 }
@@ -130,7 +130,7 @@
     for (RequestId id = 1; id <= 10; ++id) {
         const auto sent = of<SendAttempt>(b.ask(id));
         ASSERT_EQ(sent.size(), 1u);
-        b.end(id, sent[0].host, Outcome::good, 50ms);
+        b.end(id, sent[0].host, Outcome::success, 50ms);
     }
 }
 
@@ -138,13 +138,13 @@
 // good, until the cap turned the customer away altogether.
 TEST(OpenCap, AnAttemptThatOutlivesItsRequestHoldsItsPlaceUntilItEnds) {
     Settings s = one_gateway();
-    s.plans[0].max_open = 1;
-    s.second_copies = s.may_cancel = false;  // one attempt, which nothing ends but its host
+    s.plans[0].max_concurrency = 1;
+    s.may_hedge = s.may_cancel = false;  // one attempt, which nothing ends but its host
     for (const bool leaves : {true, false}) {
         Bench b(s);
         const auto sent = of<SendAttempt>(b.ask(1, 1, 500ms));
         ASSERT_EQ(sent.size(), 1u);
-        if (leaves) b.feed(ClientLeft{1});
+        if (leaves) b.feed(ClientDisconnected{1});
         b.pass(1s);
         b.ask(2);
         EXPECT_TRUE(of<SendAttempt>(b.pass(1s)).empty());
@@ -159,12 +159,12 @@
 Bench with_two_places() {
     Settings s = one_gateway();
     s.plans[0].rate = s.plans[0].burst = 100;
-    s.plans[0].max_open = 2;
+    s.plans[0].max_concurrency = 2;
     Bench b(s);
     for (RequestId id = 101; id <= 120; ++id) {
         const auto sent = of<SendAttempt>(b.ask(id));
         EXPECT_EQ(sent.size(), 1u);
-        for (const SendAttempt& a : sent) b.end(id, a.host, Outcome::good, 20ms);
+        for (const SendAttempt& a : sent) b.end(id, a.host, Outcome::success, 20ms);
     }
     return b;
 }
@@ -178,7 +178,7 @@
     for (RequestId id = 1; id <= 4; ++id)
         for (const SendAttempt& a : of<SendAttempt>(b.ask(id))) sent.push_back(a);
     ASSERT_EQ(sent.size(), 2u);
-    const auto next = of<SendAttempt>(b.end(sent[0].id, sent[0].host, Outcome::good, 20ms));
+    const auto next = of<SendAttempt>(b.end(sent[0].id, sent[0].host, Outcome::success, 20ms));
     ASSERT_EQ(next.size(), 1u);
     EXPECT_EQ(next[0].id, 3u);  // the one that came first
     const auto last = of<SendAttempt>(b.end(sent[1].id, sent[1].host, Outcome::error, 20ms, 0, true));
@@ -190,7 +190,7 @@
 TEST(OpenCap, GatewaysThatShareItEvenlyDoNotSendMoreThanItTogether) {
     Settings s = one_of_two();
     s.plans[0].rate = s.plans[0].burst = 100;
-    s.plans[0].max_open = 3;
+    s.plans[0].max_concurrency = 3;
     std::size_t sent = 0;
     for (s.rank = 0; s.rank < 2; ++s.rank) {
         Bench b(s);
@@ -219,12 +219,12 @@
     for (RequestId id = 1; id <= 2; ++id) EXPECT_EQ(of<SendAttempt>(b.ask(id)).size(), 1u);
     b.ask(3);
     const auto out = b.pass(800ms);
-    ASSERT_EQ(of<Refuse>(out).size(), 1u);
-    EXPECT_EQ(of<Refuse>(out)[0].id, 3u);
+    ASSERT_EQ(of<RejectRequest>(out).size(), 1u);
+    EXPECT_EQ(of<RejectRequest>(out)[0].id, 3u);
     for (const SendAttempt& a : of<SendAttempt>(out)) EXPECT_NE(a.id, 3u);
     // With more in line than places come free in time, the next is refused at once and told when to come.
-    std::vector<Refuse> refused;
-    for (RequestId id = 10; id < 200 && refused.empty(); ++id) refused = of<Refuse>(b.ask(id));
+    std::vector<RejectRequest> refused;
+    for (RequestId id = 10; id < 200 && refused.empty(); ++id) refused = of<RejectRequest>(b.ask(id));
     ASSERT_EQ(refused.size(), 1u);
     EXPECT_GT(refused[0].retry_after, 100ms);
 }
@@ -235,10 +235,10 @@
     Bench b(one_gateway());
     press(b);
     EXPECT_EQ(of<SendAttempt>(b.ask(1)).size(), 1u);  // leaves at once
-    const auto refused = of<Refuse>(b.ask(2));
+    const auto refused = of<RejectRequest>(b.ask(2));
     ASSERT_EQ(refused.size(), 1u);
     EXPECT_NEAR(refused[0].retry_after.count(), 1'250'000, 2);
-    const auto again = of<Refuse>(b.ask(3));  // and charged nothing
+    const auto again = of<RejectRequest>(b.ask(3));  // and charged nothing
     ASSERT_EQ(again.size(), 1u);
     EXPECT_NEAR(again[0].retry_after.count(), 1'250'000, 2);
 }
@@ -250,7 +250,7 @@
     b.pass(2s);
     press(b);
     EXPECT_EQ(of<SendAttempt>(b.ask(1, 3)).size(), 1u);
-    const auto refused = of<Refuse>(b.ask(2));
+    const auto refused = of<RejectRequest>(b.ask(2));
     ASSERT_EQ(refused.size(), 1u);
     EXPECT_NEAR(refused[0].retry_after.count(), 2'500'000, 2);
 }
@@ -271,7 +271,7 @@
     Bench b(one_gateway(), {host("a")});
     b.ask(1, 1, 300ms);
     const auto out = b.pass(300ms);
-    EXPECT_EQ(of<Refuse>(out).size() + of<Fail>(out).size(), 1u);
+    EXPECT_EQ(of<RejectRequest>(out).size() + of<FailRequest>(out).size(), 1u);
 }
 
 TEST(Rules, NothingGoesToADrainingHost) {
@@ -287,15 +287,15 @@
 TEST(Rules, NoHostsMeansAnAnswerAllTheSame) {
     Bench b(one_gateway(), {});
     b.ask(1);
-    EXPECT_EQ(of<Refuse>(b.pass(2s)).size(), 1u);
+    EXPECT_EQ(of<RejectRequest>(b.pass(2s)).size(), 1u);
 }
 
 TEST(Rules, AKeyedRequestStaysInItsCellAndIsNotRefusedOnceItMayHaveRun) {
     Settings s = one_gateway();
-    s.classes[0].effect = Effect::keyed;
-    s.classes[0].repeat_scope = RepeatScope::cell;
-    s.classes[0].repeat_window = 1s;
-    s.second_copies = false;
+    s.classes[0].idempotency = Idempotency::with_key;
+    s.classes[0].deduplication_scope = DeduplicationScope::cell;
+    s.classes[0].deduplication_window = 1s;
+    s.may_hedge = false;
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
         Bench b(s, {host("a", HostState::up, 1), host("b", HostState::up, 2), host("c", HostState::up, 2)},
                 seed);
@@ -303,10 +303,10 @@
         ASSERT_EQ(first.size(), 1u);
         b.now += 50ms;
         const auto next = b.end(1, first[0].host, Outcome::reset, 50ms);
-        EXPECT_TRUE(of<Refuse>(next).empty());
+        EXPECT_TRUE(of<RejectRequest>(next).empty());
         for (const SendAttempt& a : of<SendAttempt>(next)) EXPECT_EQ(a.host == "a", first[0].host == "a");
-        EXPECT_TRUE(of<Refuse>(b.pass(2s)).empty());
-        EXPECT_EQ(of<Fail>(b.actions).size(), 1u);
+        EXPECT_TRUE(of<RejectRequest>(b.pass(2s)).empty());
+        EXPECT_EQ(of<FailRequest>(b.actions).size(), 1u);
     }
 }
 
@@ -315,10 +315,10 @@
 TEST(Rules, AKeyedRequestIsRepeatedOnlyWhereALateConnectionStaysWithinTheWindow) {
     for (const bool late : {false, true}) {
         Settings s = one_gateway();
-        s.classes[0].effect = Effect::keyed;
-        s.classes[0].repeat_window = 400ms;
-        s.connect_time = 250ms;
-        s.second_copies = false;
+        s.classes[0].idempotency = Idempotency::with_key;
+        s.classes[0].deduplication_window = 400ms;
+        s.connect_timeout = 250ms;
+        s.may_hedge = false;
         Bench b(s);
         const auto first = of<SendAttempt>(b.ask(1));
         ASSERT_EQ(first.size(), 1u);
@@ -331,16 +331,16 @@
 
 TEST(Rules, AnUnsafeRequestIsNotRepeatedOnceItMayHaveRun) {
     Settings s = one_gateway();
-    s.classes[0].effect = Effect::unsafe;
+    s.classes[0].idempotency = Idempotency::not_idempotent;
     Bench b(s, {host("a"), host("b"), host("c")});
     const auto first = of<SendAttempt>(b.ask(1));
     ASSERT_EQ(first.size(), 1u);
     const auto next = b.end(1, first[0].host, Outcome::reset, 50ms);
     EXPECT_TRUE(of<SendAttempt>(next).empty());
-    EXPECT_EQ(of<Fail>(next).size(), 1u);
+    EXPECT_EQ(of<FailRequest>(next).size(), 1u);
     ASSERT_EQ(of<SendAttempt>(b.ask(2)).size(), 1u);
-    EXPECT_EQ(of<SendAttempt>(b.end(2, of<SendAttempt>(b.actions).back().host, Outcome::full, 5ms)).size(),
-              1u);
+    EXPECT_EQ(
+        of<SendAttempt>(b.end(2, of<SendAttempt>(b.actions).back().host, Outcome::rejected, 5ms)).size(), 1u);
 }
 
 // Found in page8618: clients reset their connections within milliseconds of a request, and hosts worked on
@@ -352,20 +352,20 @@
         Bench b(s);
         const auto sent = of<SendAttempt>(b.ask(1));
         ASSERT_EQ(sent.size(), 1u);
-        const auto cancelled = of<CancelAttempt>(b.feed(ClientLeft{1}));
+        const auto cancelled = of<CancelAttempt>(b.feed(ClientDisconnected{1}));
         ASSERT_EQ(cancelled.size(), may ? 1u : 0u);
         for (const CancelAttempt& c : cancelled) EXPECT_EQ(c.attempt, 0);
-        EXPECT_TRUE(of<CancelAttempt>(b.feed(ClientLeft{1})).empty());
+        EXPECT_TRUE(of<CancelAttempt>(b.feed(ClientDisconnected{1})).empty());
         b.ask(2);
-        EXPECT_TRUE(of<CancelAttempt>(b.end(2, sent[0].host, Outcome::good, 5ms)).empty());
+        EXPECT_TRUE(of<CancelAttempt>(b.end(2, sent[0].host, Outcome::success, 5ms)).empty());
     }
 }
 
 TEST(Ceiling, AFreshInstanceHasNothingOfABurstItMayHaveSpentBefore) {
     Settings s = one_gateway();
-    s.plans[0].hard_rate = 4, s.plans[0].hard_burst = 8;
+    s.plans[0].ceiling_rate = 4, s.plans[0].ceiling_burst = 8;
     Bench b(s);
-    EXPECT_EQ(of<Refuse>(b.ask(1)).size(), 1u);
+    EXPECT_EQ(of<RejectRequest>(b.ask(1)).size(), 1u);
     b.pass(251ms);
     EXPECT_EQ(of<SendAttempt>(b.ask(2)).size(), 1u);
 }
@@ -379,7 +379,7 @@
     while (!of<SendAttempt>(b.ask(id)).empty()) ++id;  // fills the hosts; `id` waits, two more may
     const RequestId newest = ++id;
     b.ask(newest);
-    const auto sent = of<SendAttempt>(b.end(1, "a", Outcome::good, 20ms));
+    const auto sent = of<SendAttempt>(b.end(1, "a", Outcome::success, 20ms));
     ASSERT_GE(sent.size(), 1u);
     EXPECT_EQ(sent[0].id, newest);
 }
@@ -392,8 +392,8 @@
     RequestId id = 1;
     while (!of<SendAttempt>(b.ask(id)).empty()) ++id;  // `id` waits
     const auto out = b.ask(id + 1);
-    ASSERT_EQ(of<Refuse>(out).size(), 1u);
-    EXPECT_EQ(of<Refuse>(out)[0].id, id);
+    ASSERT_EQ(of<RejectRequest>(out).size(), 1u);
+    EXPECT_EQ(of<RejectRequest>(out)[0].id, id);
 }
 
 // All instances together must stay under the multiple of the cold host's capacity; one of two takes half at
@@ -409,7 +409,7 @@
         for (Micros t{0}; t < span; t += 50ms) {
             b.pass(50ms);
             if (out.size() >= 4) {
-                b.end(out.front().id, out.front().host, Outcome::good, 200ms);
+                b.end(out.front().id, out.front().host, Outcome::success, 200ms);
                 out.pop_front();
             }
             for (const SendAttempt& a : of<SendAttempt>(b.ask(id++))) ++count[a.host], out.push_back(a);
@@ -472,8 +472,8 @@
             while (!answers.empty() && answers.begin()->first <= now) {
                 const auto [rank, a] = answers.begin()->second;
                 answers.erase(answers.begin());
-                take(rank,
-                     gateways[static_cast<std::size_t>(rank)].end(a.id, a.host, Outcome::good, answer_after));
+                take(rank, gateways[static_cast<std::size_t>(rank)].end(a.id, a.host, Outcome::success,
+                                                                        answer_after));
             }
         }
     }
@@ -495,7 +495,7 @@
 Settings two_slots_for_a_set() {
     Settings s = one_of_two();
     s.plans[0].rate = s.plans[0].burst = 100;
-    s.plans[0].max_open = 2;
+    s.plans[0].max_concurrency = 2;
     return s;
 }
 }  // namespace
@@ -523,7 +523,7 @@
 
 TEST(OpenCap, TheSlotsOfAGatewayThatDiesComeFree) {
     Settings s = two_slots_for_a_set();
-    s.second_copies = s.may_cancel = false;
+    s.may_hedge = s.may_cancel = false;
     Fleet fleet(s, 12, 1);
     fleet.answer_after = 60s;  // nothing ends
     const int at = static_cast<int>(name_hash("c") % 5);
@@ -566,7 +566,7 @@
             s.plans[0].rate = 50, s.plans[0].burst = 60;  // the ceiling alone binds
             const int set = std::min(count, 8);
             const double burst = 6.0 * set, rate = 3.0 * set;
-            s.plans[0].hard_rate = rate, s.plans[0].hard_burst = burst;
+            s.plans[0].ceiling_rate = rate, s.plans[0].ceiling_burst = burst;
             Fleet fleet(s, count, seed);
             std::map<RequestId, double> units;
             double store = burst, lowest = burst;
@@ -644,7 +644,7 @@
                 const auto got =
                     b.feed(MessageArrived{m.to, pack({LeaseGrant{ask.nonce, ask.need, 0, 0, 1}})});
                 served += static_cast<int>(of<SendAttempt>(got).size());
-                for (const SendAttempt& a : of<SendAttempt>(got)) b.end(a.id, a.host, Outcome::good, 5ms);
+                for (const SendAttempt& a : of<SendAttempt>(got)) b.end(a.id, a.host, Outcome::success, 5ms);
             }
         }
     }
@@ -732,12 +732,13 @@
             const SendAttempt a = sent[0];
             ++(plan == 0 ? of_p : of_q)[a.host];
             const bool full = plan == 0 && a.host == "a";
-            sent = of<SendAttempt>(b.end(id, a.host, full ? Outcome::full : Outcome::good, 30ms, tries));
+            sent =
+                of<SendAttempt>(b.end(id, a.host, full ? Outcome::rejected : Outcome::success, 30ms, tries));
         }
     }
     EXPECT_LE(of_p["a"], 5);
     EXPECT_GT(of_q["a"], 30);
-    EXPECT_TRUE(of<Refuse>(b.actions).empty());
+    EXPECT_TRUE(of<RejectRequest>(b.actions).empty());
 }
 
 // Found in i77ecda: each of hundreds of gateways held connections to every host.
@@ -758,13 +759,13 @@
 // A garbled report says nothing; taken for idleness it would draw requests to a host that may be full.
 TEST(Health, AProbeWithNoReadableReportDoesNotPassForIdle) {
     Settings s = one_gateway();
-    s.may_probe = true;
+    s.may_check_health = true;
     s.reports = LoadReports::on_probe;
     for (const bool readable : {false, true}) {
         Bench b(s);
-        const auto probes = of<ProbeHost>(b.ask(1));
+        const auto probes = of<CheckHealth>(b.ask(1));
         ASSERT_EQ(probes.size(), 2u);
-        ProbeEnded p;
+        HealthCheckEnded p;
         p.host = probes[0].host;
         if (readable) p.report.queued = 0;
         EXPECT_EQ(of<SendAttempt>(b.feed(p)).size(), readable ? 1u : 0u);
@@ -781,7 +782,7 @@
     for (RequestId id = 1; id <= 500; ++id) {
         for (const SendAttempt& a : of<SendAttempt>(b.ask(id))) {
             ++used[a.host];
-            b.end(id, a.host, Outcome::good, 20ms);
+            b.end(id, a.host, Outcome::success, 20ms);
         }
         b.pass(10ms);
     }
@@ -800,12 +801,12 @@
 
 TEST(Events, UnknownOnesChangeNothing) {
     Bench b(one_gateway());
-    EXPECT_TRUE(b.feed(ClientLeft{99}).empty());
+    EXPECT_TRUE(b.feed(ClientDisconnected{99}).empty());
     EXPECT_TRUE(b.end(99, "nowhere", Outcome::timeout, 1s).empty());
     EXPECT_TRUE(b.feed(MessageArrived{0, "junk"}).empty());
     EXPECT_TRUE(b.feed(MessageArrived{77, "junk"}).empty());
     EXPECT_TRUE(b.feed(TimerFired{~0ull}).empty());
-    EXPECT_TRUE(b.feed(ProbeEnded{}).empty());
+    EXPECT_TRUE(b.feed(HealthCheckEnded{}).empty());
 }
 
 TEST(Events, LateAndRepeatedOnesChangeNothing) {
@@ -813,13 +814,13 @@
     const auto sent = of<SendAttempt>(b.ask(1));
     ASSERT_EQ(sent.size(), 1u);
     const auto timers = b.timers;
-    b.end(1, sent[0].host, Outcome::good, 20ms);
+    b.end(1, sent[0].host, Outcome::success, 20ms);
     EXPECT_TRUE(b.end(1, sent[0].host, Outcome::timeout, 2s).empty());
     for (const auto& [at, token] : timers) {
         for (const Action& a : b.feed(TimerFired{token})) EXPECT_TRUE(std::holds_alternative<SetTimer>(a));
     }
     EXPECT_TRUE(b.ask(2, 1, 0us).size() == 1 &&
-                of<Refuse>(b.actions).size() == 1);  // no time left: answered at once
+                of<RejectRequest>(b.actions).size() == 1);  // no time left: answered at once
 }
 
 TEST(Events, BadMessagesAndProbesChangeNothing) {
@@ -835,19 +836,19 @@
          {SlotRequest{1, 2, 9, 2, 0, 1}, SlotRequest{1, 2, 0, 0, 0, 1}, SlotRequest{1, 2, 0, 3, 0, 1}})
         EXPECT_TRUE(b.feed(MessageArrived{1, pack({request})}).empty());
     EXPECT_TRUE(b.feed(MessageArrived{1, pack({SlotGrant{77, 2, 5, 0}})}).empty());
-    EXPECT_TRUE(b.feed(ProbeEnded{"gone", Outcome::good, 1ms, {}}).empty());
-    EXPECT_TRUE(b.feed(ProbeEnded{"a", Outcome::timeout, 250ms, {}}).empty());
+    EXPECT_TRUE(b.feed(HealthCheckEnded{"gone", Outcome::success, 1ms, {}}).empty());
+    EXPECT_TRUE(b.feed(HealthCheckEnded{"a", Outcome::timeout, 250ms, {}}).empty());
 }
 
 // Found on page5745: requests whose ask was lost stood until their client was about to give up.
 TEST(Home, ARequestThatWaitsForAPartIsRefusedOnceItIsTooLateToLeave) {
     Settings s = one_of_two();
     s.rank = static_cast<int>((name_hash("c") + 1) % 2);  // the other one is the home, and silent
-    s.classes[0].aim = 250ms;
+    s.classes[0].latency_objective = 250ms;
     Bench b(s);
     EXPECT_EQ(of<SendMessage>(b.ask(1, 1, 2s, 0, 0, "c", 2)).size(), 1u);
-    EXPECT_TRUE(of<Refuse>(b.pass(240ms)).empty());
-    EXPECT_EQ(of<Refuse>(b.pass(11ms)).size(), 1u);
+    EXPECT_TRUE(of<RejectRequest>(b.pass(240ms)).empty());
+    EXPECT_EQ(of<RejectRequest>(b.pass(11ms)).size(), 1u);
 }
 
 TEST(Home, ARepeatedPartCountsOnce) {
@@ -880,7 +881,7 @@
     };
     const auto in = of<SendAttempt>(answer(0, 1, 0));
     ASSERT_EQ(in.size(), 1u);
-    b.end(1, in[0].host, Outcome::good, 20ms);
+    b.end(1, in[0].host, Outcome::success, 20ms);
     EXPECT_TRUE(of<SendAttempt>(answer(0, 1, 0)).empty());  // once only
     answer(1, 1, 0);
     EXPECT_EQ(of<SendAttempt>(b.ask(2, 1, 5s, 0, 0, "c", 2)).size(), 1u);
@@ -1043,7 +1044,7 @@
     ASSERT_EQ(own.size(), 1u);
     EXPECT_NEAR(std::get<LeaseRequest>(unpack(own[0].bytes)->at(0)).need, 1, 1e-9);
     const auto little = give(b, ahead[0], 0.25);
-    EXPECT_TRUE(of<Refuse>(little).empty());
+    EXPECT_TRUE(of<RejectRequest>(little).empty());
     EXPECT_TRUE(of<SendAttempt>(little).empty());
     EXPECT_EQ(of<SendAttempt>(give(b, own[0], 0.75)).size(), 1u);
 }
@@ -1060,7 +1061,7 @@
         given.nonce = std::get<LeaseRequest>(unpack(to.bytes)->at(0)).nonce;
         return b.feed(MessageArrived{to.to, pack({given})});
     };
-    EXPECT_TRUE(of<Refuse>(say(asked[0], LeaseGrant{0, 0, 0, 400, 1})).empty());
+    EXPECT_TRUE(of<RejectRequest>(say(asked[0], LeaseGrant{0, 0, 0, 400, 1})).empty());
     EXPECT_EQ(of<SendAttempt>(say(again[0], LeaseGrant{0, 1, 0, 0, 1})).size(), 1u);
 }
 
@@ -1070,13 +1071,13 @@
         b.ask(1, 1, 2s, 0, 0, "c", set);
         b.pass(2s);
         EXPECT_GE(of<SendAttempt>(b.actions).size(), 1u) << set;
-        EXPECT_EQ(of<Refuse>(b.actions).size(), 1u) << set;  // no host answered
+        EXPECT_EQ(of<RejectRequest>(b.actions).size(), 1u) << set;  // no host answered
     }
 }
 
 TEST(Settings, ZeroFiguresWork) {
     Settings s;
-    s.classes = {{"read", Effect::safe, RepeatScope::all, 800ms, 2s, 0us, 0, 0}};
+    s.classes = {{"read", Idempotency::idempotent, DeduplicationScope::all, 800ms, 2s, 0us, 0, 0}};
     s.plans = {{"none", 0, 0, 0, 0, 0, 0, 0, 0}, {"no burst", 1, 0, 0, 1, 0, 1, 0, 0}};
     Bench b(s);
     EXPECT_EQ(of<SendAttempt>(b.ask(1, 1, 2s, 0, 0, "x")).size(), 1u);
@@ -1084,7 +1085,7 @@
     b.ask(3, 5, 2s, 1, 0, "y");
     b.ask(4, 1, 2s, 0, 0, "x", 0);
     b.pass(3s);
-    EXPECT_EQ(of<Refuse>(b.actions).size() + of<Fail>(b.actions).size(), 4u);
+    EXPECT_EQ(of<RejectRequest>(b.actions).size() + of<FailRequest>(b.actions).size(), 4u);
 }
 
 // Found by the soak: the timer that decides in time would come behind the deadline itself, on the grid of the
@@ -1092,11 +1093,11 @@
 TEST(Deadline, ARequestWithLessThanTheClocksGridLeftIsDecidedAtOnce) {
     for (const Micros left : {1us, 1000us, 4000us, 8000us}) {
         Settings s = one_gateway();
-        s.may_probe = true;  // it would wait for a probe
+        s.may_check_health = true;  // it would wait for a probe
         Bench b(s);
         const auto actions = b.ask(1, 1, left, -1);
-        ASSERT_EQ(of<Refuse>(actions).size(), 1u) << left.count();
-        EXPECT_EQ(of<Refuse>(actions)[0].cause, EndCause::expired_on_arrival);
+        ASSERT_EQ(of<RejectRequest>(actions).size(), 1u) << left.count();
+        EXPECT_EQ(of<RejectRequest>(actions)[0].reason, RejectionReason::expired_on_arrival);
     }
 }
 
@@ -1115,7 +1116,7 @@
             b.pass(10ms);
             for (const SendAttempt& a : of<SendAttempt>(b.ask(id))) {
                 to_a += a.host == "a";
-                b.end(id, a.host, Outcome::good, 5ms);
+                b.end(id, a.host, Outcome::success, 5ms);
             }
         }
         return to_a;
@@ -1158,7 +1159,7 @@
         b.pass(10ms);
         for (const SendAttempt& a : of<SendAttempt>(b.ask(id))) {
             to_a += a.host == "a";
-            b.end(id, a.host, Outcome::good, 5ms);
+            b.end(id, a.host, Outcome::success, 5ms);
         }
     }
     EXPECT_GT(to_a, 150);
@@ -1185,7 +1186,7 @@
             b.pass(10ms);
             for (const SendAttempt& a : of<SendAttempt>(b.ask(id))) {
                 sent += a.host == "a";
-                b.end(id, a.host, Outcome::good, 5ms);
+                b.end(id, a.host, Outcome::success, 5ms);
             }
         }
         return sent;
@@ -1219,15 +1220,15 @@
         RequestId id = 1;
         for (; id <= 10; ++id) former.ask(id);  // more than the burst: the store is empty
         next.now += 1s, former.now += 1s;
-        const auto left = of<LeaveState>(former.feed(HandedOver{true}));
+        const auto left = of<SaveSnapshot>(former.feed(HandedOver{true}));
         ASSERT_EQ(left.size(), 1u);
-        next.feed(StateLeft{left[0].bytes});
+        next.feed(RestoreSnapshot{left[0].bytes});
         // 2 units a second, whatever the clocks say.
         int sent = 0;
         for (int i = 0; i < 40; ++i, ++id) {
             for (const SendAttempt& a : of<SendAttempt>(next.ask(id))) {
                 ++sent;
-                next.end(id, a.host, Outcome::good, 5ms);
+                next.end(id, a.host, Outcome::success, 5ms);
             }
             next.pass(100ms);
         }
@@ -1244,24 +1245,24 @@
     for (; id <= 10; ++id) {
         for (const SendAttempt& a : of<SendAttempt>(former.ask(id))) {
             ++sent;
-            former.end(id, a.host, Outcome::good, 5ms);
+            former.end(id, a.host, Outcome::success, 5ms);
         }
     }
     EXPECT_GT(sent, 0);
     EXPECT_LT(sent, 10);
     former.feed(HostBanned{"a", true});
-    const auto left = of<LeaveState>(former.feed(HandedOver{true}));
+    const auto left = of<SaveSnapshot>(former.feed(HandedOver{true}));
     ASSERT_EQ(left.size(), 1u);
-    next.feed(StateLeft{left[0].bytes});
+    next.feed(RestoreSnapshot{left[0].bytes});
     EXPECT_TRUE(of<SendAttempt>(next.ask(100)).empty());
-    EXPECT_EQ(of<Refuse>(former.ask(100)).size(), 1u);
+    EXPECT_EQ(of<RejectRequest>(former.ask(100)).size(), 1u);
     next.pass(2s);
     const auto out = of<SendAttempt>(next.ask(101));
     ASSERT_EQ(out.size(), 1u);
     EXPECT_EQ(out[0].host, "b");
     // It goes on by itself if the next process ends, as after a start.
     former.pass(2s);
-    EXPECT_EQ(of<Refuse>(former.ask(102)).size(), 1u);
+    EXPECT_EQ(of<RejectRequest>(former.ask(102)).size(), 1u);
     former.feed(HandedOver{false});
     EXPECT_EQ(of<SendAttempt>(former.ask(103)).size(), 1u);
 }
@@ -1269,17 +1270,17 @@
 TEST(Upgrade, AStateThatCantBeReadIsAStartFromNothing) {
     Bench former(one_gateway());
     former.ask(1);
-    const std::string state = of<LeaveState>(former.feed(HandedOver{true})).at(0).bytes;
+    const std::string state = of<SaveSnapshot>(former.feed(HandedOver{true})).at(0).bytes;
     for (std::size_t size = 0; size < state.size(); size += 7) {
         Bench next(one_gateway());
-        next.feed(StateLeft{state.substr(0, size)});
+        next.feed(RestoreSnapshot{state.substr(0, size)});
         next.pass(2s);
-        EXPECT_FALSE(of<SendAttempt>(next.ask(2)).empty() && of<Refuse>(next.ask(3)).empty());
+        EXPECT_FALSE(of<SendAttempt>(next.ask(2)).empty() && of<RejectRequest>(next.ask(3)).empty());
     }
     Bench next(one_gateway());
     std::string later = state;
     later[0] = 99;
-    next.feed(StateLeft{later});
+    next.feed(RestoreSnapshot{later});
     EXPECT_EQ(of<SendAttempt>(next.ask(2)).size(), 1u);
 }
 
@@ -1287,7 +1288,7 @@
 TEST(Cold, FewWarmHostsDoNotKeepManyColdOnesIdle) {
     Settings s = one_gateway();
     s.plans[0].rate = s.plans[0].burst = 1e6;
-    s.fall_multiple = 2.5;
+    s.overload_multiple = 2.5;
     std::vector<HostEntry> hosts;
     for (int i = 0; i < 8; ++i) hosts.push_back(host(std::string("h").append(std::to_string(i))));
     Bench b(s, hosts);
@@ -1299,7 +1300,7 @@
             b.pass(10ms);
             for (const SendAttempt& a : of<SendAttempt>(b.ask(id))) {
                 ++sent[a.host];
-                b.end(id, a.host, Outcome::good, 5ms);
+                b.end(id, a.host, Outcome::success, 5ms);
             }
         }
     };
--- a/tests/decision/host_list_test.cpp
+++ b/tests/decision/host_list_test.cpp
@@ -21,7 +21,7 @@
     void add(const Action& action) {
         add(std::to_string(action.index()));
         if (const auto* sent = std::get_if<SendAttempt>(&action)) add(std::to_string(sent->id) + sent->host);
-        if (const auto* refused = std::get_if<Refuse>(&action)) add(std::to_string(refused->id));
+        if (const auto* refused = std::get_if<RejectRequest>(&action)) add(std::to_string(refused->id));
         if (const auto* cancelled = std::get_if<CancelAttempt>(&action)) add(std::to_string(cancelled->id));
     }
     std::uint64_t value() const { return value_; }
@@ -42,14 +42,14 @@
         Settings s;
         s.instances = 5;
         s.zone = "a";
-        s.classes = {{"read", Effect::safe, RepeatScope::all, 250ms, 600ms, 0us, 1, 0}};
+        s.classes = {{"read", Idempotency::idempotent, DeduplicationScope::all, 250ms, 600ms, 0us, 1, 0}};
         s.max_attempts = 3;
-        s.second_copies = s.may_cancel = true;
+        s.may_hedge = s.may_cancel = true;
         s.tick = 2ms;
-        s.cold_time = 3s;
-        s.fall_time = 1s;
-        s.fall_multiple = 2.5;
-        s.start_capacity = 0.2;
+        s.slow_start_time = 3s;
+        s.overload_time = 1s;
+        s.overload_multiple = 2.5;
+        s.slow_start_capacity = 0.2;
         return s;
     }
     void step() {
@@ -120,9 +120,9 @@
         ended.id = attempt.id;
         ended.attempt = attempts_[attempt.id]++;
         ended.host = attempt.host;
-        ended.took = took;
-        ended.outcome = random_() % 20 == 0 ? Outcome::error : Outcome::good;
-        ended.settled = ended.outcome == Outcome::good;
+        ended.elapsed = took;
+        ended.outcome = random_() % 20 == 0 ? Outcome::error : Outcome::success;
+        ended.request_completed = ended.outcome == Outcome::success;
         due_.emplace(now_ + took, ended);
     }
 
--- a/tests/decision/request_rules_test.cpp
+++ b/tests/decision/request_rules_test.cpp
@@ -14,17 +14,17 @@
 Settings settings() {
     Settings s;
     s.max_attempts = 3;
-    s.connect_time = 100ms;
-    const auto add = [&](Effect effect, RepeatScope scope) {
+    s.connect_timeout = 100ms;
+    const auto add = [&](Idempotency effect, DeduplicationScope scope) {
         RequestClass c;
-        c.effect = effect, c.repeat_scope = scope;
-        c.aim = 1s, c.deadline = 2s, c.repeat_window = 1s;
+        c.idempotency = effect, c.deduplication_scope = scope;
+        c.latency_objective = 1s, c.deadline = 2s, c.deduplication_window = 1s;
         s.classes.push_back(c);
     };
-    add(Effect::safe, RepeatScope::all);
-    add(Effect::keyed, RepeatScope::zone);
-    add(Effect::keyed, RepeatScope::all);
-    add(Effect::unsafe, RepeatScope::all);
+    add(Idempotency::idempotent, DeduplicationScope::all);
+    add(Idempotency::with_key, DeduplicationScope::zone);
+    add(Idempotency::with_key, DeduplicationScope::all);
+    add(Idempotency::not_idempotent, DeduplicationScope::all);
     return s;
 }
 HostEntry host(const std::string& name, const std::string& zone, HostState state = HostState::up) {
@@ -51,11 +51,11 @@
 
 TEST_F(RuleGuardTest, AnUnsafeRequestIsRepeatedOnlyWhenItNeverRan) {
     EXPECT_EQ(begin(unsafe, 0, "a1"), SendVerdict::allowed);
-    end(unsafe, 0, Outcome::full);
+    end(unsafe, 0, Outcome::rejected);
     EXPECT_TRUE(guard.may_refuse(id(unsafe)));
     EXPECT_EQ(begin(unsafe, 1, "a2"), SendVerdict::allowed);
     end(unsafe, 1, Outcome::reset);
-    EXPECT_EQ(begin(unsafe, 2, "a2"), SendVerdict::ran_already);
+    EXPECT_EQ(begin(unsafe, 2, "a2"), SendVerdict::may_have_run);
     EXPECT_FALSE(guard.may_refuse(id(unsafe)));
     EXPECT_EQ(guard.violations().total(), 2u);
 }
@@ -63,7 +63,7 @@
 TEST_F(RuleGuardTest, AKeyedRequestIsRepeatedWhereHostsKnowIt) {
     EXPECT_EQ(begin(keyed_by_zone, 0, "a1"), SendVerdict::allowed);
     end(keyed_by_zone, 0, Outcome::timeout);
-    EXPECT_EQ(begin(keyed_by_zone, 1, "b1"), SendVerdict::outside_group);
+    EXPECT_EQ(begin(keyed_by_zone, 1, "b1"), SendVerdict::outside_deduplication_scope);
     EXPECT_EQ(begin(keyed_by_zone, 2, "a2"), SendVerdict::allowed);
     end(keyed_by_zone, 2, Outcome::connect_failed);
     EXPECT_FALSE(guard.may_refuse(id(keyed_by_zone)));
@@ -71,36 +71,36 @@
     end(keyed, 0, Outcome::cancelled);
     EXPECT_TRUE(guard.may_refuse(id(keyed)));
     now += 900ms;  // a connection that is late would bring the repeat when the window is over
-    EXPECT_EQ(begin(keyed, 1, "b1"), SendVerdict::outside_window);
+    EXPECT_EQ(begin(keyed, 1, "b1"), SendVerdict::outside_deduplication_window);
 }
 
 TEST_F(RuleGuardTest, CopiesAndCountsAreBound) {
     EXPECT_EQ(begin(safe, 0, "a1"), SendVerdict::allowed);
-    EXPECT_EQ(begin(safe, 1, "a2"), SendVerdict::second_copy);
+    EXPECT_EQ(begin(safe, 1, "a2"), SendVerdict::hedge_not_allowed);
     for (const int number : {0, 2, 3}) {
         end(safe, number, Outcome::error);
         EXPECT_EQ(begin(safe, number + 1, "a2"),
-                  number < 3 ? SendVerdict::allowed : SendVerdict::attempts_spent);
+                  number < 3 ? SendVerdict::allowed : SendVerdict::attempts_exhausted);
         end(safe, number + 1, Outcome::error);
     }
 }
 
 TEST_F(RuleGuardTest, NothingGoesToAHostThatLeavesOrAfterTheEnd) {
     guard.hosts_changed({false, {host("a1", "a", HostState::draining)}});
-    EXPECT_EQ(begin(safe, 0, "a1"), SendVerdict::host_leaving);
-    EXPECT_EQ(begin(safe, 0, "unheard-of"), SendVerdict::host_leaving);
+    EXPECT_EQ(begin(safe, 0, "a1"), SendVerdict::host_draining);
+    EXPECT_EQ(begin(safe, 0, "unheard-of"), SendVerdict::host_draining);
     guard.host_banned({"a2", true});
-    EXPECT_EQ(begin(safe, 0, "a2"), SendVerdict::host_leaving);
+    EXPECT_EQ(begin(safe, 0, "a2"), SendVerdict::host_draining);
     guard.hosts_changed({true, {host("a2", "a")}});  // no list lifts a ban
-    EXPECT_EQ(begin(safe, 0, "a2"), SendVerdict::host_leaving);
-    EXPECT_EQ(begin(safe, 0, "b1"), SendVerdict::host_leaving);
+    EXPECT_EQ(begin(safe, 0, "a2"), SendVerdict::host_draining);
+    EXPECT_EQ(begin(safe, 0, "b1"), SendVerdict::host_draining);
     guard.host_banned({"a2", false});
     const std::uint64_t faults = guard.violations().total();
     EXPECT_EQ(begin(safe, 0, "a2"), SendVerdict::allowed);
     guard.client_left(id(safe));
-    EXPECT_EQ(begin(safe, 1, "a2"), SendVerdict::already_answered);
+    EXPECT_EQ(begin(safe, 1, "a2"), SendVerdict::already_completed);
     guard.answered(id(keyed), now);
-    EXPECT_EQ(begin(keyed, 0, "a2"), SendVerdict::already_answered);
+    EXPECT_EQ(begin(keyed, 0, "a2"), SendVerdict::already_completed);
     now += 2s;
     EXPECT_EQ(begin(unsafe, 0, "a2"), SendVerdict::expired);
     EXPECT_EQ(guard.violations().total(), faults);  // decisions may cross an end
--- a/tests/package/main.cpp
+++ b/tests/package/main.cpp
@@ -6,7 +6,7 @@
     using namespace gateway::decision;
     using namespace std::chrono_literals;
     Settings settings;
-    settings.classes = {{"read", Effect::safe, RepeatScope::all, 800ms, 2s}};
+    settings.classes = {{"read", Idempotency::idempotent, DeduplicationScope::all, 800ms, 2s}};
     settings.plans = {{"basic", 2.0, 8.0}};
     Gateway gateway(settings, /*seed*/ 1, /*now*/ 1s);
     std::vector<Action> actions;
--- a/tests/server/watch_test.cpp
+++ b/tests/server/watch_test.cpp
@@ -197,13 +197,13 @@
 
 // 55,000 hosts replaced a day would end in the memory limit.
 TEST(KnownNames, AreForgottenSomeTimeAfterTheirHostsAreGone) {
-    const auto name_of = [](int host) { return std::string("h").append(std::to_string(host)); };
+    const auto to_string = [](int host) { return std::string("h").append(std::to_string(host)); };
     KnownNames names(10min);
     Steady::time_point now{};
     std::size_t most = 0;
     for (int host = 0; host < 10000; ++host, now += 1s) {
-        names.listed(name_of(host));
-        if (host > 0) names.gone(name_of(host - 1), now);
+        names.listed(to_string(host));
+        if (host > 0) names.gone(to_string(host - 1), now);
         names.forget_old(now, {"h7"});
         most = std::max(most, names.size());
     }
