--- a/src/server/client_server.cpp
+++ b/src/server/client_server.cpp
@@ -82,7 +82,7 @@
         first_ = first;
         if (!first) expect(idle_most);
         if (unread.size() > unread_.max_size())
-            return close(ClientClose::abandoned);  // no version of this program leaves so much
+            return close(ClientCloseReason::internal_error);  // no version of this program leaves so much
         unread_.commit(asio::buffer_copy(unread_.prepare(unread.size()), asio::buffer(unread)));
         unread_since_ = Steady::now();
         error_code ec;
@@ -127,7 +127,7 @@
         if (parser_ && !writing_ && !lingering_)
             return fail(http::status::request_timeout, "request not whole in time");
         if (kept()) return linger();
-        close(lingering_ ? ClientClose::linger_over : ClientClose::stalled);
+        close(lingering_ ? ClientCloseReason::linger_timeout : ClientCloseReason::timeout);
     }
     // No look at an idle connection holds until its close: what comes in between would have the close reset
     // it, and what its client has not read yet of the last answer could go with that.
@@ -184,7 +184,7 @@
     void break_off() {
         error_code ec;
         socket_.set_option(asio::socket_base::linger(true, 0), ec);  // not to be taken for an end
-        close(ClientClose::answer_broken);
+        close(ClientCloseReason::answer_broken);
     }
 
     // After an answer given from outside: what the client has sent meanwhile is taken up.
@@ -204,7 +204,7 @@
         expect(penalty_);
     }
 
-    void close(ClientClose cause) {
+    void close(ClientCloseReason cause) {
         if (std::exchange(closed_, true)) return;
         error_code ec;
         socket_.close(ec);
@@ -234,9 +234,9 @@
     void pass() {
         error_code ec;
         Descriptor socket(socket_.release(ec));
-        if (ec) return close(ClientClose::abandoned);
+        if (ec) return close(ClientCloseReason::internal_error);
         closed_ = true;
-        server_.note_closed(ClientClose::handed_over, number_, 0);
+        server_.note_closed(ClientCloseReason::handed_over, number_, 0);
         const auto keep = shared_from_this();
         list->erase(self);
         place_.give_back();
@@ -269,9 +269,9 @@
         socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code ec) {
             self->reading_ = false;
             if (self->closed_) return;
-            if (ec) return self->close(ClientClose::client_left);
+            if (ec) return self->close(ClientCloseReason::closed_by_client);
             contain(
-                "client", [&] { self->take_in(); }, [&] { self->close(ClientClose::abandoned); });
+                "client", [&] { self->take_in(); }, [&] { self->close(ClientCloseReason::internal_error); });
         });
     }
     // Whether a further read has a place. Without one the parser waits for the end of a line that has none:
@@ -283,14 +283,15 @@
         // What is more than any client has to say by then is dropped, and the answer ends the connection.
         if (request_ != 0 && unread_.size() >= most_header) {
             keep_alive_ = false, close_after_ = true;
-            if (dropped_ >= linger_most_bytes) return close(ClientClose::flood);
+            if (dropped_ >= linger_most_bytes) return close(ClientCloseReason::flood);
             return drop();
         }
         if (!has_room()) return fail(http::status::request_header_fields_too_large, "line too long");
         error_code ec;
         const std::size_t n = socket_.read_some(unread_.prepare(read_at_once), ec);
         if (ec && ec != asio::error::would_block && ec != asio::error::try_again)
-            return close(lingering_ ? ClientClose::linger_over : ClientClose::client_left);
+            return close(lingering_ ? ClientCloseReason::linger_timeout
+                                    : ClientCloseReason::closed_by_client);
         // The time of a request counts from its arrival, however long it then stands unread.
         if (unread_.size() == 0 && n > 0)
             unread_since_ = std::exchange(first_bytes_at_, std::nullopt).value_or(Steady::now());
@@ -303,7 +304,8 @@
         error_code ec;
         dropped_ += socket_.read_some(asio::buffer(nowhere), ec);
         if (ec && ec != asio::error::would_block && ec != asio::error::try_again)
-            return close(lingering_ ? ClientClose::linger_over : ClientClose::client_left);
+            return close(lingering_ ? ClientCloseReason::linger_timeout
+                                    : ClientCloseReason::closed_by_client);
         read();
     }
 
@@ -419,7 +421,7 @@
         expect(write_most);
         error_code ec;
         from += write_available(socket_, std::string_view(out_).substr(from), ec);
-        if (ec) return close(ClientClose::write_failed), false;
+        if (ec) return close(ClientCloseReason::write_failed), false;
         writing_ = from < out_.size();
         if (writing_) await_room(from);
         return !writing_;
@@ -428,9 +430,10 @@
     void await_room(std::size_t from) {
         socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this(), from](error_code failed) {
             if (self->closed_) return;
-            if (failed) return self->close(ClientClose::write_failed);
+            if (failed) return self->close(ClientCloseReason::write_failed);
             contain(
-                "client", [&] { self->on_room(from); }, [&] { self->close(ClientClose::abandoned); });
+                "client", [&] { self->on_room(from); },
+                [&] { self->close(ClientCloseReason::internal_error); });
         });
     }
     void on_room(std::size_t from) {
@@ -524,7 +527,7 @@
     sweep();
     accept();
 }
-void ClientServer::note_closed(ClientClose cause, std::uint64_t connection, std::uint64_t request) {
+void ClientServer::note_closed(ClientCloseReason cause, std::uint64_t connection, std::uint64_t request) {
     LogLine(LogLevel::debug, "client_closed")
         .with("connection", connection)
         .with("cause", to_string(cause))
@@ -537,8 +540,8 @@
     budget_.on_shortage(SocketBudget::Side::client, {});
     callbacks_.on_left = [](std::uint64_t) {};
     callbacks_.on_closed = {};
-    while (!newcomers_.empty()) newcomers_.front()->close(ClientClose::shut_down);
-    while (!known_.empty()) known_.front()->close(ClientClose::shut_down);
+    while (!newcomers_.empty()) newcomers_.front()->close(ClientCloseReason::shutdown);
+    while (!known_.empty()) known_.front()->close(ClientCloseReason::shutdown);
 }
 
 void ClientServer::open() {
@@ -547,7 +550,7 @@
     for (const auto& connection : waiting)
         contain(
             "client", [&] { connection->start_parsing(); },
-            [&] { connection->close(ClientClose::abandoned); });
+            [&] { connection->close(ClientCloseReason::internal_error); });
 }
 // One accept is under way unless there is no room for a further client: then the next comes with a freed
 // place.
@@ -651,13 +654,13 @@
     const auto it = std::find_if(newcomers_.begin(), newcomers_.end(),
                                  [&](const auto& c) { return c->gives_nothing(since); });
     if (it == newcomers_.end()) return false;
-    (*it)->close(ClientClose::shortage);
+    (*it)->close(ClientCloseReason::evicted);
     return true;
 }
 bool ClientServer::close_one_idle() {
     const auto it = std::find_if(known_.begin(), known_.end(), [](const auto& c) { return c->idle(); });
     if (it == known_.end()) return false;
-    (*it)->close(ClientClose::shortage);
+    (*it)->close(ClientCloseReason::evicted);
     return true;
 }
 // Guards against crowds that connect and say nothing, or never end: they give way to each other before any
@@ -734,7 +737,8 @@
         const auto connection = *it++;  // it may end now
         if (!connection->overdue(now)) continue;
         contain(
-            "client", [&] { connection->time_out(); }, [&] { connection->close(ClientClose::abandoned); });
+            "client", [&] { connection->time_out(); },
+            [&] { connection->close(ClientCloseReason::internal_error); });
     }
 }
 void ClientServer::sweep() {
--- a/src/server/client_server.h
+++ b/src/server/client_server.h
@@ -14,10 +14,10 @@
 #include <unordered_map>
 
 #include "byte_budget.h"
-#include "causes.h"
 #include "clock.h"
 #include "handover.h"
 #include "http.h"
+#include "reasons.h"
 #include "socket_budget.h"
 
 namespace gateway::server {
@@ -38,7 +38,7 @@
         std::function<bool()> ready;                          // what /_health tells
         std::function<void(std::uint64_t id)> on_taken = {};  // the last piece of a long answer has gone
         // `request`: in hand without an answer; 0: none. Called before `on_left`.
-        std::function<void(ClientClose cause, std::uint64_t request)> on_closed = {};
+        std::function<void(ClientCloseReason cause, std::uint64_t request)> on_closed = {};
     };
 
     // Takes a connection that is between requests, what has been read of its next one, and whether that is
@@ -98,7 +98,7 @@
     bool connection_waits();
     Steady::time_point came_by() const;
     std::shared_ptr<Connection> take_from_hand(std::uint64_t id);
-    void note_closed(ClientClose cause, std::uint64_t connection, std::uint64_t request);
+    void note_closed(ClientCloseReason cause, std::uint64_t connection, std::uint64_t request);
     bool close_one_newcomer(std::chrono::steady_clock::duration silent_for);
     bool close_one_idle();
     bool make_room();
--- a/src/server/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -130,7 +130,7 @@
     }
     Descriptor release() {
         state_ = State::closed;
-        pool_.note_closed(HostClose::handed_over, host_->uid);
+        pool_.note_closed(HostCloseReason::handed_over, host_->uid);
         timer_.cancel();
         error_code ec;
         Descriptor socket(socket_.release(ec));
@@ -138,7 +138,7 @@
         return socket;
     }
 
-    void close(HostClose cause) {
+    void close(HostCloseReason cause) {
         state_ = State::closed;
         pool_.note_closed(cause, host_->uid);
         timer_.cancel();
@@ -192,7 +192,7 @@
     }
     void time_out() {
         if (state_ == State::connecting)
-            end(locally_failed_ ? HostOutcome::not_begun : HostOutcome::connect_failed);
+            end(locally_failed_ ? HostOutcome::not_started : HostOutcome::connect_failed);
         else if (state_ == State::writing || state_ == State::waiting) end(HostOutcome::timeout);
     }
 
@@ -280,7 +280,7 @@
                 return true;
             begun_ = true;
             HostResult result;
-            result.outcome = HostOutcome::served;
+            result.outcome = HostOutcome::success;
             result.elapsed = took_ =
                 std::chrono::duration_cast<std::chrono::microseconds>(Steady::now() - since_);
             result.answer.base() = parser_->get().base();
@@ -340,8 +340,8 @@
         result.load_report.assign(load.data(), load.size());
         const unsigned status = answer.result_int();
         const bool not_executed = (status == 503 || status == 504) && answer["X-Never-Ran"] == "1";
-        result.outcome = status == 200  ? HostOutcome::served
-                         : not_executed ? HostOutcome::full
+        result.outcome = status == 200  ? HostOutcome::success
+                         : not_executed ? HostOutcome::rejected
                                         : HostOutcome::error;
         const bool again = known_end && state_ == State::waiting && answer.keep_alive() &&
                            unread_.size() == 0 && silent() && host_->takes_new() &&
@@ -369,9 +369,10 @@
             host_->idle.push_back(self);
             pool_.resting_.insert(host_);
         } else {
-            const bool answered = result.outcome == HostOutcome::served ||
-                                  result.outcome == HostOutcome::full || result.outcome == HostOutcome::error;
-            close(answered ? HostClose::not_kept : HostClose::exchange_failed);
+            const bool answered = result.outcome == HostOutcome::success ||
+                                  result.outcome == HostOutcome::rejected ||
+                                  result.outcome == HostOutcome::error;
+            close(answered ? HostCloseReason::not_reusable : HostCloseReason::exchange_failed);
         }
         if (is_probe_) pool_.callbacks_.on_probe(host_->uid, std::move(result));
         else pool_.callbacks_.on_attempt(key_, host_->uid, std::move(result));
@@ -380,7 +381,7 @@
         auto& idle = host_->idle;
         const auto self = shared_from_this();
         idle.erase(std::find(idle.begin(), idle.end(), self));
-        close(HostClose::host_ended_it);
+        close(HostCloseReason::closed_by_host);
     }
 
     HostPool& pool_;
@@ -417,14 +418,14 @@
 HostPool::~HostPool() {
     budget_.on_shortage(SocketBudget::Side::host, {});
     callbacks_.on_closed = {};
-    for (const auto& connection : busy_) connection->close(HostClose::shut_down);
+    for (const auto& connection : busy_) connection->close(HostCloseReason::shutdown);
     for (const auto& [uid, host] : hosts_) {
-        for (const auto& connection : host->idle) connection->close(HostClose::shut_down);
+        for (const auto& connection : host->idle) connection->close(HostCloseReason::shutdown);
         host->idle.clear();  // a connection holds its host, so neither would end while the host holds it
     }
 }
 
-void HostPool::note_closed(HostClose cause, const std::string& uid) {
+void HostPool::note_closed(HostCloseReason cause, const std::string& uid) {
     LogLine(LogLevel::debug, "host_connection_closed").with("cause", to_string(cause)).with("host", uid);
     if (callbacks_.on_closed) callbacks_.on_closed(cause);
 }
@@ -469,7 +470,7 @@
 void HostPool::close_idle_of(Host& host) {
     std::erase_if(host.idle, [&host](const auto& connection) {
         const bool stays = host.takes_new() && connection->endpoint() == host.endpoint;
-        if (!stays) connection->close(HostClose::host_leaving);
+        if (!stays) connection->close(HostCloseReason::host_draining);
         return !stays;
     });
 }
@@ -492,7 +493,7 @@
     why_none = HostOutcome::connect_failed;
     const auto found = hosts_.find(uid);
     if (found == hosts_.end() || !found->second->takes_new()) return nullptr;
-    why_none = HostOutcome::not_begun;
+    why_none = HostOutcome::not_started;
     auto& idle = found->second->idle;
     std::shared_ptr<Connection> connection;
     const auto before = Steady::now() - rest_;
@@ -501,7 +502,7 @@
         const auto last = std::move(idle[at]);
         idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(at));
         if (last->silent()) connection = last;
-        else last->close(HostClose::host_ended_it);
+        else last->close(HostCloseReason::closed_by_host);
     }
     if (!connection) {
         auto place = budget_.take(SocketBudget::Side::host);
@@ -550,7 +551,7 @@
             if (connection->silent())
                 pass(connection->release(), host->uid,
                      std::chrono::duration_cast<std::chrono::microseconds>(now - connection->idle_since()));
-            else connection->close(HostClose::host_ended_it);
+            else connection->close(HostCloseReason::closed_by_host);
 }
 void HostPool::adopt(Descriptor&& socket, const std::string& uid, std::chrono::microseconds idle_for) {
     const auto found = hosts_.find(uid);
@@ -576,7 +577,7 @@
     if (oldest == nullptr) return false;
     const auto connection = std::move(oldest->idle.front());
     oldest->idle.erase(oldest->idle.begin());
-    connection->close(HostClose::shortage);
+    connection->close(HostCloseReason::evicted);
     return true;
 }
 
@@ -587,7 +588,7 @@
         auto& idle = host->idle;
         const auto fresh =
             std::find_if(idle.begin(), idle.end(), [&](const auto& c) { return c->idle_since() > too_old; });
-        std::for_each(idle.begin(), fresh, [](const auto& c) { c->close(HostClose::idle_for_long); });
+        std::for_each(idle.begin(), fresh, [](const auto& c) { c->close(HostCloseReason::idle_timeout); });
         idle.erase(idle.begin(), fresh);
     }
     sweep_timer_.expires_after(sweep_period);
--- a/src/server/host_pool.h
+++ b/src/server/host_pool.h
@@ -13,10 +13,10 @@
 #include <unordered_set>
 #include <vector>
 
-#include "causes.h"
 #include "endpoint_list.h"
 #include "handover.h"
 #include "http.h"
+#include "reasons.h"
 #include "socket_budget.h"
 
 namespace gateway::server {
@@ -44,7 +44,7 @@
         // cancelled.
         std::function<bool(const AttemptKey&, const std::string& uid, HostResult&&)> on_begun = {};
         std::function<void(const AttemptKey&, std::string&& piece)> on_piece = {};
-        std::function<void(HostClose cause)> on_closed = {};
+        std::function<void(HostCloseReason cause)> on_closed = {};
     };
 
     HostPool(boost::asio::io_context& io, SocketBudget& budget, std::chrono::microseconds connect_timeout,
@@ -77,7 +77,7 @@
     class Connection;
     struct Host;
 
-    void note_closed(HostClose cause, const std::string& uid);
+    void note_closed(HostCloseReason cause, const std::string& uid);
     void close_idle_of(Host& host);
     void cut_unsent();
     template <class Which>
--- a/src/server/metrics.h
+++ b/src/server/metrics.h
@@ -6,9 +6,9 @@
 #include <map>
 #include <string>
 
-#include "causes.h"
 #include "gateway/interface.h"
 #include "gateway/rule_guard.h"
+#include "reasons.h"
 
 namespace gateway::server {
 
@@ -21,8 +21,8 @@
     void failed(decision::RejectionReason cause) { ++failures_[decision::to_string(cause)]; }
     void attempt_begun(decision::AttemptReason cause) { ++attempts_begun_[decision::to_string(cause)]; }
     void attempt_ended(HostOutcome outcome) { ++attempts_ended_[to_string(outcome)]; }
-    void client_closed(ClientClose cause) { ++client_closes_[to_string(cause)]; }
-    void host_closed(HostClose cause) { ++host_closes_[to_string(cause)]; }
+    void client_closed(ClientCloseReason cause) { ++client_closes_[to_string(cause)]; }
+    void host_closed(HostCloseReason cause) { ++host_closes_[to_string(cause)]; }
 
     // In the text format of Prometheus.
     std::string text(const decision::RuleGuard::Violations& violations) const;
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -51,11 +51,11 @@
 
 decision::Outcome outcome_of(HostOutcome outcome) {
     switch (outcome) {
-        case HostOutcome::served:
+        case HostOutcome::success:
             return decision::Outcome::success;
         case HostOutcome::error:
             return decision::Outcome::error;
-        case HostOutcome::full:
+        case HostOutcome::rejected:
             return decision::Outcome::rejected;
         case HostOutcome::connect_failed:
             return decision::Outcome::connect_failed;
@@ -66,7 +66,7 @@
         case HostOutcome::cancelled:
             return decision::Outcome::cancelled;
         case HostOutcome::withdrawn:
-        case HostOutcome::not_begun:
+        case HostOutcome::not_started:
             return decision::Outcome::not_sent;
     }
     return decision::Outcome::error;
@@ -200,7 +200,7 @@
     callbacks.on_piece = [this](const auto& key, std::string&& piece) {
         clients_->go_on(key.request, std::move(piece));
     };
-    callbacks.on_closed = [this](HostClose cause) { metrics_.host_closed(cause); };
+    callbacks.on_closed = [this](HostCloseReason cause) { metrics_.host_closed(cause); };
     return callbacks;
 }
 ClientServer::Callbacks Runtime::client_callbacks() {
@@ -211,7 +211,7 @@
     callbacks.on_taken = [this](std::uint64_t id) {
         if (const auto it = live_.find(id); it != live_.end()) pool_->read_on({id, it->second.passing_on});
     };
-    callbacks.on_closed = [this](ClientClose cause, std::uint64_t request) {
+    callbacks.on_closed = [this](ClientCloseReason cause, std::uint64_t request) {
         on_client_closed(cause, request);
     };
     return callbacks;
@@ -501,10 +501,11 @@
 }
 
 // A connection that this side closes with a request in hand leaves that without an answer.
-void Runtime::on_client_closed(ClientClose cause, std::uint64_t request) {
+void Runtime::on_client_closed(ClientCloseReason cause, std::uint64_t request) {
     metrics_.client_closed(cause);
-    const bool own_doing = cause == ClientClose::shortage || cause == ClientClose::linger_over ||
-                           cause == ClientClose::stalled || cause == ClientClose::abandoned;
+    const bool own_doing = cause == ClientCloseReason::evicted ||
+                           cause == ClientCloseReason::linger_timeout ||
+                           cause == ClientCloseReason::timeout || cause == ClientCloseReason::internal_error;
     const auto it = live_.find(request);
     if (!own_doing || request == 0 || it == live_.end() || it->second.answered) return;
     guard_.closed_unanswered();
@@ -530,10 +531,10 @@
         .with("host", uid)
         .with("outcome", to_string(result.outcome))
         .with("took", result.elapsed);
-    const bool serves = result.outcome == HostOutcome::served && !live.answered;
+    const bool serves = result.outcome == HostOutcome::success && !live.answered;
     if (live.passing_on == key.attempt) {
         live.passing_on = -1;
-        if (result.outcome == HostOutcome::served)
+        if (result.outcome == HostOutcome::success)
             clients_->end_answer(key.request, std::move(result.answer.body()));
         else clients_->break_answer(key.request);
     }
@@ -562,7 +563,7 @@
 
 void Runtime::on_probe(const std::string& uid, HostResult&& result) {
     decision::HealthCheckEnded event{uid, outcome_of(result.outcome), result.elapsed, {}};
-    if (result.outcome == HostOutcome::served)
+    if (result.outcome == HostOutcome::success)
         event.report =
             read_load_report(result.load_report.empty() ? result.answer.body() : result.load_report);
     feed(std::move(event));
--- a/src/server/runtime.h
+++ b/src/server/runtime.h
@@ -101,7 +101,7 @@
     void close(LiveAt live);
     void drop_if_over(std::uint64_t id);
     void end_unsent(const decision::SendAttempt& action, int attempt, bool answered);
-    void on_client_closed(ClientClose cause, std::uint64_t request);
+    void on_client_closed(ClientCloseReason cause, std::uint64_t request);
     HostPool::Callbacks pool_callbacks();
     ClientServer::Callbacks client_callbacks();
     void give_up(LiveAt live);
--- a/tests/server/host_pool_test.cpp
+++ b/tests/server/host_pool_test.cpp
@@ -59,7 +59,7 @@
     list(host.endpoint());
     send(1, 480ms);
     ASSERT_TRUE(run_until(io, [&] { return !ended.empty(); }));
-    EXPECT_EQ(ended[0].result.outcome, HostOutcome::served);
+    EXPECT_EQ(ended[0].result.outcome, HostOutcome::success);
     EXPECT_EQ(ended[0].result.answer.body(), "body");
     EXPECT_EQ(host.targets[0], "/api?q=1");
     EXPECT_EQ(host.requests[0]["X-Trace-Id"], "t1");
@@ -119,10 +119,10 @@
               HostOutcome::error);
     EXPECT_EQ(
         outcome([](auto& p) { p.say("HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"); }),
-        HostOutcome::full);
+        HostOutcome::rejected);
     EXPECT_EQ(
         outcome([](auto& p) { p.say("HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"); }),
-        HostOutcome::full);
+        HostOutcome::rejected);
     EXPECT_EQ(outcome([](auto& p) { p.say("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"); }),
               HostOutcome::error);
     EXPECT_EQ(outcome([](auto& p) { p.close(); }), HostOutcome::reset);
@@ -133,12 +133,12 @@
                   p.say("HTTP/1.1 100 Continue\r\n\r\n");
                   p.ok("late");
               }),
-              HostOutcome::served);
+              HostOutcome::success);
     EXPECT_EQ(
         outcome([](auto& p) {
             p.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
         }),
-        HostOutcome::served);
+        HostOutcome::success);
     EXPECT_EQ(ended.back().result.answer.body(), "abc");
 }
 
@@ -150,7 +150,7 @@
             outcome([&](auto& p) { p.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + line); }),
             HostOutcome::error)
             << line.substr(0, 20);
-    EXPECT_EQ(outcome([](auto& p) { p.ok("served"); }), HostOutcome::served);
+    EXPECT_EQ(outcome([](auto& p) { p.ok("served"); }), HostOutcome::success);
 }
 
 // What comes behind an answer must not be heard as the next request's.
@@ -165,7 +165,7 @@
     for (std::uint64_t id = 1; id <= 3; ++id) {
         send(id);
         ASSERT_TRUE(run_until(io, [&] { return ended.size() == id; }));
-        EXPECT_EQ(ended.back().result.outcome, HostOutcome::served);
+        EXPECT_EQ(ended.back().result.outcome, HostOutcome::success);
         EXPECT_EQ(ended.back().result.answer.body(), "own" + std::to_string(id));
     }
     EXPECT_EQ(host.peers.size(), 3u);
@@ -207,7 +207,7 @@
 
 TEST_F(HostPoolTest, WordsAheadAreHeardWithinABound) {
     const std::string word = "HTTP/1.1 103 Early\r\nX: y\r\n\r\n";
-    EXPECT_EQ(outcome([&](auto& p) { p.say(word + word), p.ok("body"); }), HostOutcome::served);
+    EXPECT_EQ(outcome([&](auto& p) { p.say(word + word), p.ok("body"); }), HostOutcome::success);
     EXPECT_EQ(ended.back().result.answer.body(), "body");
     EXPECT_EQ(outcome([&](auto& p) {
                   for (int i = 0; i < 100; ++i) p.say(word);
@@ -246,7 +246,7 @@
                   p.say("HTTP/1.1 200 OK\r\n\r\nall of it");
                   p.close();
               }),
-              HostOutcome::served);
+              HostOutcome::success);
     EXPECT_EQ(ended.back().result.answer.body(), "all of it");
 }
 
@@ -275,7 +275,7 @@
     for (std::uint64_t id = 3; id < 8; ++id) {
         send(id);
         ASSERT_TRUE(run_until(io, [&] { return ended.size() == id; }));
-        EXPECT_EQ(ended.back().result.outcome, HostOutcome::served);
+        EXPECT_EQ(ended.back().result.outcome, HostOutcome::success);
     }
     EXPECT_EQ(host.peers.size(), 2u);
 }
@@ -289,7 +289,7 @@
     ASSERT_TRUE(run_until(io, [&] { return budget.held(SocketBudget::Side::host) == 0; }));
     send(2);
     ASSERT_TRUE(run_until(io, [&] { return ended.size() == 2; }));
-    EXPECT_EQ(ended[1].result.outcome, HostOutcome::served);
+    EXPECT_EQ(ended[1].result.outcome, HostOutcome::success);
 }
 
 // A host ends connections that stand idle, and a request written into that end is lost.
@@ -366,11 +366,11 @@
     for (std::uint64_t id = 1; id <= 7; ++id) send(id);
     ASSERT_EQ(ended.size(), 1u);
     EXPECT_EQ(ended[0].key.request, 7u);
-    EXPECT_EQ(ended[0].result.outcome, HostOutcome::not_begun);
+    EXPECT_EQ(ended[0].result.outcome, HostOutcome::not_started);
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 6; }));
     for (const auto& peer : host.peers) peer->ok("");
     ASSERT_TRUE(run_until(io, [&] { return ended.size() == 7; }));
-    for (std::size_t i = 1; i < 7; ++i) EXPECT_EQ(ended[i].result.outcome, HostOutcome::served);
+    for (std::size_t i = 1; i < 7; ++i) EXPECT_EQ(ended[i].result.outcome, HostOutcome::success);
 }
 
 TEST_F(HostPoolTest, ProbesBringTheReport) {
@@ -379,7 +379,7 @@
     pool().probe("h");
     ASSERT_TRUE(run_until(io, [&] { return !probed.empty(); }));
     EXPECT_EQ(host.targets[0], "/_load");
-    EXPECT_EQ(probed[0].result.outcome, HostOutcome::served);
+    EXPECT_EQ(probed[0].result.outcome, HostOutcome::success);
     EXPECT_EQ(probed[0].result.answer.body(), "TEXT inflight=7, queue=2, util=0.61");
     Server silent(io, [](auto&) {});
     list(silent.endpoint());
--- a/tests/server/system_call_test.cpp
+++ b/tests/server/system_call_test.cpp
@@ -77,13 +77,13 @@
     {
         const FailingCalls failing(SocketCall::connect, {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS});
         ASSERT_TRUE(send());
-        EXPECT_EQ(ended.back(), HostOutcome::served);
+        EXPECT_EQ(ended.back(), HostOutcome::success);
         host.peers.back()->close();
     }
     {
         const FailingCalls failing(SocketCall::socket, {ENFILE, EMFILE, ENOMEM});
         ASSERT_TRUE(send());
-        EXPECT_EQ(ended.back(), HostOutcome::served);
+        EXPECT_EQ(ended.back(), HostOutcome::success);
     }
 }
 
