--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -10,6 +10,7 @@
 #include <unordered_map>
 #include <utility>
 
+#include "context.h"
 #include "gateway/interface.h"
 #include "host_index.h"
 #include "peer_message.h"
@@ -19,7 +20,6 @@
 namespace gateway::decision {
 namespace {
 using namespace std::chrono_literals;
-using Actions = std::vector<Action>;
 
 // ---- tuned constants, each with its unit and reason ------------------------------------------------------
 constexpr double cold_factor = 3;      // SmoothWarmingUp's coldInterval / stableInterval, by the design
@@ -35,9 +35,8 @@
 constexpr std::size_t outbox_most = 200;                 // messages kept for one peer; more are dropped
 constexpr int silent_after = 2;    // lease requests lost in a row that make a peer count as silent
 constexpr Micros silent_for = 1s;  // it is then passed over this long
-constexpr Micros slot_term = 1s, slot_renewal = 250ms;      // of a slot lent; when it is asked for anew
-constexpr Micros beat_period = 100ms, stall_after = 300ms;  // of a timer that tells own stalls
-constexpr Micros idle_least = 10s, sweep_period = 5s;  // idle customers age out; how often that is looked at
+constexpr Micros slot_term = 1s, slot_renewal = 250ms;  // of a slot lent; when it is asked for anew
+constexpr Micros idle_least = 10s, sweep_period = 5s;   // idle customers age out; how often that is looked at
 constexpr double slow_share_of_aim = 0.5, slow_weight = 0.04;  // slow, as a share of the aim; its weight
 constexpr double pressed_above = 0.25, relieved_below = 0.20;  // slow shares: looks pressed, no more
 constexpr double room_below = 0.08;            // slow share under which there is room for more than quotas
@@ -71,8 +70,6 @@
 constexpr int probe_rounds = 2;                          // pairs of hosts probed for one request
 constexpr double probes_of_fleet = 12, probes_kept = 4;  // earned by a request, by all gateways; saved up
 
-enum class TimerKind { deadline, release, check, expiry, lease, probe, flush, beat, slots, inherited };
-constexpr std::uint64_t timer_kinds = 10;
 constexpr std::uint32_t state_version = 3;  // of what an upgrade leaves; another version's is passed over
 constexpr double inherited_answers = 2;     // mean answer times for which inherited attempts count as out
 
@@ -89,7 +86,7 @@
         const double most = max_permits(stable_s, warmup_s);
         if (stored < 0) stored = most, next_free = now;
         if (now <= next_free) return;
-        stored = std::min(most, stored + seconds(now - next_free) * most / warmup_s);
+        stored = std::min(most, stored + to_seconds(now - next_free) * most / warmup_s);
         next_free = now;
     }
     void reserve(double permits, double stable_s, double warmup_s) {
@@ -99,7 +96,7 @@
         const double above = std::max(0.0, stored - threshold);
         const double steep = std::min(above, spent);
         const double climb = steep * (2 * stable_s + slope * (2 * above - steep)) / 2;
-        next_free += micros(climb + stable_s * (spent - steep) + stable_s * (permits - spent));
+        next_free += to_micros(climb + stable_s * (spent - steep) + stable_s * (permits - spent));
         stored -= spent;
     }
 };
@@ -112,7 +109,7 @@
     Micros touched{0}, last_use{0};
     double level = 0;                 // plain store: units of the quota this gateway may still send on
     Micros even_at{0};                // when the even slice next covers a unit, where no home answers
-    Fading own;                       // recent demand here
+    DecayingCounter own;              // recent demand here
     double told_demand = 0;           // and by all gateways, units a second, as the home tells
     Micros told_at{0}, dry_until{0};  // when it told, and until when it has nothing
     double dry_need = 0;              // for requests of this size
@@ -129,9 +126,10 @@
     int open = 0, requests = 0;                          // attempts out, requests in hand
     int leaving = 0;                                     // requests let in that have not been sent yet
     WarmUpLimiter limiter;
-    void state(auto& s) {
-        s(hash, plan, set_size, set_start, touched, last_use, level, even_at, own, told_demand, told_at,
-          dry_until, dry_need, hard_level, hard_reserved, open, leaving, limiter.stored, limiter.next_free);
+    void serialize(auto& codec) {
+        codec(hash, plan, set_size, set_start, touched, last_use, level, even_at, own, told_demand, told_at,
+              dry_until, dry_need, hard_level, hard_reserved, open, leaving, limiter.stored,
+              limiter.next_free);
     }
 };
 struct Peer {
@@ -145,51 +143,40 @@
 class Gateway::Impl {
   public:
     Impl(Settings settings, std::uint64_t seed, Micros now)
-        : s_(std::move(settings)), rules_(s_), random_(seed), boot_(now) {
-        const auto check = [](bool fine, const char* what) {
-            if (!fine) throw std::invalid_argument(what);
-        };
-        check(s_.rank >= 0 && s_.rank < s_.instances, "settings: rank must lie within instances");
-        check(s_.max_attempts >= 1, "settings: max_attempts must be 1 at least");
-        for (const Plan& p : s_.plans)
-            check(std::min({p.rate, p.burst, p.ceiling_rate, p.ceiling_burst}) >= 0,
-                  "settings: plan figures below 0");
-        for (const RequestClass& c : s_.classes)
-            check(c.deadline > 0us && c.latency_objective > 0us,
-                  "settings: a class needs an aim and a deadline above 0");
-        next_nonce_ = static_cast<std::uint32_t>(random_()) | 1;
+        : context_(std::move(settings), seed, now), rules_(context_.settings()) {
         // Once every store would be full again, a customer that is forgotten and one that is kept are alike.
         // Guards against memory that grows with all who ever came.
-        for (const Plan& p : s_.plans) {
-            if (p.rate > 0) idle_after_ = std::max(idle_after_, micros(p.burst / p.rate));
+        for (const Plan& p : context_.settings().plans) {
+            if (p.rate > 0) idle_after_ = std::max(idle_after_, to_micros(p.burst / p.rate));
             if (p.ceiling_rate > 0)
-                idle_after_ = std::max(idle_after_, micros(p.ceiling_burst / p.ceiling_rate));
+                idle_after_ = std::max(idle_after_, to_micros(p.ceiling_burst / p.ceiling_rate));
         }
     }
 
     void handle(Micros now, const Event& event, Actions& actions) {
-        now_ = now;
-        actions_ = &actions;
-        if (last_beat_ == 0us) beat();
+        context_.begin_event(now, actions);
+        if (!context_.heartbeat_started()) beat();
         std::visit([this](const auto& e) { on(e); }, event);
     }
 
   private:
     // ---- quotas ---------------------------------------------------------------------------------------
 
-    const Plan* plan_of(const Customer& c) const { return c.plan < 0 ? nullptr : &s_.plans[c.plan]; }
+    const Plan* plan_of(const Customer& c) const {
+        return c.plan < 0 ? nullptr : &context_.settings().plans[c.plan];
+    }
 
     // The set's gateways in the order in which they keep this customer's ledger.
     int home(std::uint32_t hash, int set_start, int set_size, int place) const {
         const auto n = static_cast<std::uint32_t>(set_size);
         const std::uint32_t at = (hash + static_cast<std::uint32_t>(place) * (1 + n / 3)) % n;
-        return static_cast<int>((static_cast<std::uint32_t>(set_start) + at) % s_.instances);
+        return static_cast<int>((static_cast<std::uint32_t>(set_start) + at) % context_.settings().instances);
     }
 
     // This gateway's share of the customer's recent demand; the even split where no home told it lately.
     double share(const Customer& c) const {
-        const double even = 1.0 / c.set_size, own = c.own.value(now_, use_memory_s) / use_memory_s;
-        if (c.told_at <= 0us || now_ - c.told_at > sweep_period) return even;
+        const double even = 1.0 / c.set_size, own = c.own.value(context_.now(), use_memory_s) / use_memory_s;
+        if (c.told_at <= 0us || context_.now() - c.told_at > sweep_period) return even;
         return std::clamp(own / std::max({own, c.told_demand, 1e-9}), even, 1.0);
     }
 
@@ -198,7 +185,7 @@
         return of * (1 - home_hard_share) / c.set_size;
     }
     void touch(Customer& c) {
-        const double dt = seconds(now_ - std::exchange(c.touched, now_));
+        const double dt = to_seconds(context_.now() - std::exchange(c.touched, context_.now()));
         if (const Plan* p = plan_of(c); p && p->ceiling_rate > 0)
             c.hard_level += std::min(even_ceiling(c, p->ceiling_burst) - c.hard_level,
                                      dt * even_ceiling(c, p->ceiling_rate));
@@ -208,10 +195,11 @@
         auto [it, fresh] = customers_.try_emplace(r.customer);
         Customer& c = it->second;
         // The ceiling's share counts from this start, from nothing: a former life may have spent it all.
-        if (fresh) c.hash = name_hash(r.customer), c.plan = r.plan, c.touched = boot_;
-        c.set_size = std::max(c.set_size, std::clamp(r.set_size, 1, s_.instances));
-        c.set_start = ((r.set_start % s_.instances) + s_.instances) % s_.instances;
-        c.last_use = now_;
+        if (fresh) c.hash = name_hash(r.customer), c.plan = r.plan, c.touched = context_.started_at();
+        c.set_size = std::max(c.set_size, std::clamp(r.set_size, 1, context_.settings().instances));
+        c.set_start = ((r.set_start % context_.settings().instances) + context_.settings().instances) %
+                      context_.settings().instances;
+        c.last_use = context_.now();
         return touch(c), c;
     }
 
@@ -219,34 +207,35 @@
 
     Ledger& ledger(std::uint32_t customer, const Plan& p) {
         auto [it, fresh] = ledgers_.try_emplace(customer);
-        if (fresh) it->second.level = start_share * p.burst, it->second.touched = boot_;
+        if (fresh) it->second.level = start_share * p.burst, it->second.touched = context_.started_at();
         return it->second;
     }
     // Grants a lease: what is needed or nothing, and at most half of the rest on top, taken off first, so
     // that leases lost on the way are lost and none counts twice. Acts where the slice held here does not
     // cover a request; harms by a burst at most for each home that restarts.
     LeaseGrant grant(const LeaseRequest& request) {
-        const Plan& p = s_.plans[request.plan];
+        const Plan& p = context_.settings().plans[request.plan];
         Ledger& l = ledger(request.customer, p);
-        const double dt = seconds(now_ - std::exchange(l.touched, now_));
+        const double dt = to_seconds(context_.now() - std::exchange(l.touched, context_.now()));
         // A successor keeps less of the burst, and gives none of the ceiling's common share: the home owns
         // it.
-        const bool owns = home(request.customer, request.set_start, request.set_size, 0) == s_.rank;
+        const bool owns =
+            home(request.customer, request.set_start, request.set_size, 0) == context_.settings().rank;
         l.level = std::min(p.burst * (owns ? 1 : start_share), l.level + dt * p.rate);
         if (owns)
             l.hard =
                 std::min(home_hard_share * p.ceiling_burst, l.hard + dt * home_hard_share * p.ceiling_rate);
-        l.asked.add(request.need + request.extra, now_, use_memory_s);
+        l.asked.add(request.need + request.extra, context_.now(), use_memory_s);
         LeaseGrant given{request.nonce};
-        given.demand = l.asked.value(now_, use_memory_s) / use_memory_s;
+        given.demand = l.asked.value(context_.now(), use_memory_s) / use_memory_s;
         double wait = 0;
         if (request.need > l.level) {
             // Each gateway that is turned away gets a turn of its own. Guards against all of them coming for
             // the same units, and then again, through a full intake.
-            const Micros turn = l.promised + micros(request.need / std::max(p.rate, 1e-9));
+            const Micros turn = l.promised + to_micros(request.need / std::max(p.rate, 1e-9));
             wait = (request.need - l.level) / std::max(p.rate, 1e-9);
-            l.promised = std::max(now_ + micros(wait), turn);
-            wait = seconds(l.promised - now_);
+            l.promised = std::max(context_.now() + to_micros(wait), turn);
+            wait = to_seconds(l.promised - context_.now());
         }
         if (l.hard < request.hard)
             wait = std::max(wait, (request.hard - l.hard) / std::max(p.ceiling_rate, 1e-9));
@@ -265,11 +254,12 @@
         if (c.awaiting.empty()) return;
         const double k = requests_.at(c.awaiting.front()).arrival.units;
         LeaseRequest request{0, c.hash, c.plan, c.set_size, c.set_start, lack(c, k), 0, ceiling_lack(c, k)};
-        request.extra = std::max(0.0, c.own.value(now_, use_memory_s) / use_memory_s * prefetch_s - k);
+        request.extra =
+            std::max(0.0, c.own.value(context_.now(), use_memory_s) / use_memory_s * prefetch_s - k);
         for (int place = 0; place < homes && c.tries < lease_tries; ++place) {
             const int to = home(c.hash, c.set_start, c.set_size, place);
-            if (to == s_.rank) return receive(c, grant(request));
-            if (!s_.may_message_peers || now_ < peers_[to].silent_until) continue;
+            if (to == context_.settings().rank) return receive(c, grant(request));
+            if (!context_.settings().may_message_peers || context_.now() < peers_[to].silent_until) continue;
             ++c.tries;
             c.nonce = request_lease(c, to, request, false);
             return;
@@ -280,12 +270,13 @@
     }
 
     std::uint32_t request_lease(Customer& c, int to, LeaseRequest request, bool ahead) {
-        request.nonce = std::exchange(next_nonce_, next_nonce_ + 2);
+        request.nonce = context_.next_nonce();
         post(to, request, !ahead);
         // One that waits in the outbox is not lost yet.
-        const Micros queued = peers_[to].outbox.empty() ? 0us : peers_[to].flush_at - now_;
-        leases_due_[request.nonce] = {&c, to, now_ + queued, ahead};
-        timer(grant_due + queued + (ahead ? no_hurry() : 0us), request.nonce, TimerKind::lease);
+        const Micros queued = peers_[to].outbox.empty() ? 0us : peers_[to].flush_at - context_.now();
+        leases_due_[request.nonce] = {&c, to, context_.now() + queued, ahead};
+        context_.set_timer(grant_due + queued + (ahead ? no_hurry() : 0us), request.nonce,
+                           TimerKind::lease_request);
         return request.nonce;
     }
 
@@ -294,14 +285,15 @@
     // by what then lies here while others could use it, a request's units or so.
     void prefetch(Customer& c, double k) {
         const Plan* p = plan_of(c);
-        if (!p || p->rate <= 0 || c.prefetching || now_ < c.dry_until || handed_) return;
-        const double soon = std::max(k, c.own.value(now_, use_memory_s) / use_memory_s * prefetch_s);
+        if (!p || p->rate <= 0 || c.prefetching || context_.now() < c.dry_until || handed_) return;
+        const double soon =
+            std::max(k, c.own.value(context_.now(), use_memory_s) / use_memory_s * prefetch_s);
         const int to = home(c.hash, c.set_start, c.set_size, 0);
         // What lies unspent at the gateways of a set is more than the customer's own store would hold, as
         // that fills to the burst only: together they keep no more than that ahead.
         const double most = p->burst / c.set_size;
-        if (c.level >= soon || most < k || to == s_.rank || !s_.may_message_peers ||
-            now_ < peers_[to].silent_until)
+        if (c.level >= soon || most < k || to == context_.settings().rank ||
+            !context_.settings().may_message_peers || context_.now() < peers_[to].silent_until)
             return;
         const double ahead = std::min(prefetch_factor * soon, most);
         LeaseRequest request{0, c.hash, c.plan, c.set_size, c.set_start, 0, ahead, ceiling_lack(c, k)};
@@ -315,13 +307,14 @@
         Customer& c = *q.customer;
         const Plan& p = *plan_of(c);
         const double k = q.arrival.units;
-        const Micros wait = c.even_at - now_;
+        const Micros wait = c.even_at - context_.now();
         if (ceiling_lack(c, k) > 0)
-            return deny(q, micros(ceiling_lack(c, k) / even_ceiling(c, p.ceiling_rate)),
+            return deny(q, to_micros(ceiling_lack(c, k) / even_ceiling(c, p.ceiling_rate)),
                         RejectionReason::over_quota);
         if (lack(c, k) > 0) {
             if (wait > 0us) return deny(q, wait, RejectionReason::over_quota);
-            c.even_at = std::max(c.even_at, now_) + micros(k * c.set_size / std::max(p.rate, 1e-9));
+            c.even_at =
+                std::max(c.even_at, context_.now()) + to_micros(k * c.set_size / std::max(p.rate, 1e-9));
             c.level += lack(c, k);
         }
         admit(q);
@@ -340,7 +333,7 @@
         touch(c);
         c.level = std::min(c.level + given.units, std::max(p.burst, c.level));
         c.hard_level = std::min(c.hard_level + given.hard, even_ceiling(c, p.ceiling_burst));
-        c.told_demand = given.demand, c.told_at = now_;
+        c.told_demand = given.demand, c.told_at = context_.now();
         bool any = false;
         for (const RequestId id : std::exchange(c.awaiting, {})) {
             const auto it = requests_.find(id);
@@ -356,7 +349,7 @@
         c.tries = 0;
         if (credit(c, given) || c.awaiting.empty()) return acquire(c);
         const Micros wait = std::max(grant_due, Micros(given.wait_ms * 1000));
-        c.dry_until = now_ + wait;
+        c.dry_until = context_.now() + wait;
         for (const RequestId id : std::exchange(c.awaiting, {}))
             if (const auto it = requests_.find(id); it != requests_.end())
                 c.dry_need = it->second.arrival.units, deny(it->second, wait, RejectionReason::over_quota);
@@ -373,7 +366,7 @@
         admit(q);
     }
     void refuse(Request& q, Micros wait, RejectionReason cause) {
-        actions_->push_back(RejectRequest{q.arrival.id, advice(std::max(wait, 0us)), cause});
+        context_.emit(RejectRequest{q.arrival.id, advice(std::max(wait, 0us)), cause});
         forget(q);
     }
 
@@ -383,28 +376,29 @@
     }
     // Decides on one request: the plain store always, the split slice with warm-up cost while pressed.
     void on(const RequestArrived& r) {
-        if (r.request_class < 0 || r.request_class >= static_cast<int>(s_.classes.size()) ||
-            r.plan >= static_cast<int>(s_.plans.size()) || requests_.count(r.id))
+        if (r.request_class < 0 || r.request_class >= static_cast<int>(context_.settings().classes.size()) ||
+            r.plan >= static_cast<int>(context_.settings().plans.size()) || requests_.count(r.id))
             return;
         // Timers come on the grid of the tick: what has less left than two of them could not be answered in
         // time.
-        if (r.time_left <= 2 * s_.tick)
-            return actions_->push_back(RejectRequest{r.id, 0us, RejectionReason::expired_on_arrival});
-        if (handed_) return actions_->push_back(RejectRequest{r.id, 0us, RejectionReason::handed_over});
+        if (r.time_left <= 2 * context_.settings().tick)
+            return context_.emit(RejectRequest{r.id, 0us, RejectionReason::expired_on_arrival});
+        if (handed_) return context_.emit(RejectRequest{r.id, 0us, RejectionReason::handed_over});
         Customer& c = customer(r);
         Request q;
-        q.arrival = r, q.customer = &c, q.deadline = now_ + r.time_left;
+        q.arrival = r, q.customer = &c, q.deadline = context_.now() + r.time_left;
         q.arrival.units = std::max(0.0, r.units);
-        q.kind = r.request_class * static_cast<int>(s_.plans.size() + 1) + r.plan + 1;
-        const double left = seconds(std::min(r.time_left, s_.classes[r.request_class].latency_objective));
+        q.kind = r.request_class * static_cast<int>(context_.settings().plans.size() + 1) + r.plan + 1;
+        const double left =
+            to_seconds(std::min(r.time_left, context_.settings().classes[r.request_class].latency_objective));
         const double margin = std::min(margin_answers * answer_for(q.arrival.units), margin_most * left);
-        q.latest_start = now_ + micros(left - margin);
+        q.latest_start = context_.now() + to_micros(left - margin);
         const double k = q.arrival.units;
-        c.own.add(k, now_, use_memory_s);
-        probes_ = std::min(probes_kept, probes_ + probes_of_fleet / s_.instances);
+        c.own.add(k, context_.now(), use_memory_s);
+        probes_ = std::min(probes_kept, probes_ + probes_of_fleet / context_.settings().instances);
         ++c.requests;
         Request& kept = requests_.emplace(r.id, std::move(q)).first->second;
-        timer(r.time_left - 2 * s_.tick, r.id, TimerKind::deadline);
+        context_.set_timer(r.time_left - 2 * context_.settings().tick, r.id, TimerKind::deadline);
         enter(kept);
     }
 
@@ -414,10 +408,10 @@
         const double k = q.arrival.units;
         if (!plan_of(c) || (lack(c, k) <= 0 && ceiling_lack(c, k) <= 0))
             return has_slot(c) ? admit(q) : hold(q);
-        if (now_ < c.dry_until && k >= c.dry_need)
-            return deny(q, c.dry_until - now_, RejectionReason::over_quota);
+        if (context_.now() < c.dry_until && k >= c.dry_need)
+            return deny(q, c.dry_until - context_.now(), RejectionReason::over_quota);
         c.awaiting.push_back(q.arrival.id);
-        timer(q.latest_start - now_, q.arrival.id, TimerKind::expiry);
+        context_.set_timer(q.latest_start - context_.now(), q.arrival.id, TimerKind::expiry);
         if (c.nonce == 0) acquire(c);
     }
 
@@ -426,13 +420,13 @@
     bool borrows_slots(const Customer& c) {
         const Plan& p = *plan_of(c);
         const int to = home(c.hash, c.set_start, c.set_size, 0);
-        return c.set_size > 2 * p.max_concurrency && s_.may_message_peers &&
-               (to == s_.rank || now_ >= peers_[to].silent_until);
+        return c.set_size > 2 * p.max_concurrency && context_.settings().may_message_peers &&
+               (to == context_.settings().rank || context_.now() >= peers_[to].silent_until);
     }
     // This gateway's slots. What is let in and not sent yet will count as well. A fraction of a slot is none,
     // but for the first: rounded up, the shares of a set would be more than the cap.
     double slots(const Customer& c) {
-        if (borrows_slots(c)) return now_ < c.slots_until ? c.slots : 0;
+        if (borrows_slots(c)) return context_.now() < c.slots_until ? c.slots : 0;
         return std::max(1.0, std::floor(plan_of(c)->max_concurrency * share(c)));
     }
     bool has_slot(const Customer& c) {
@@ -444,10 +438,11 @@
         Customer& c = *q.customer;
         std::erase_if(c.held, [this](RequestId id) { return !requests_.count(id); });
         const double line = 1 + static_cast<double>(c.held.size()) + c.slots_in_line;
-        const Micros wait = micros(answer_s_ * line / plan_of(c)->max_concurrency);
-        if (now_ + wait > q.latest_start) return deny(q, wait, RejectionReason::over_concurrency_limit);
+        const Micros wait = to_micros(answer_s_ * line / plan_of(c)->max_concurrency);
+        if (context_.now() + wait > q.latest_start)
+            return deny(q, wait, RejectionReason::over_concurrency_limit);
         c.held.push_back(q.arrival.id);
-        timer(q.latest_start - now_, q.arrival.id, TimerKind::expiry);
+        context_.set_timer(q.latest_start - context_.now(), q.arrival.id, TimerKind::expiry);
         claim_slots(c, false);
     }
     void fill_slots(Customer& c) {
@@ -466,34 +461,36 @@
         const int wanted = std::min(p->max_concurrency, c.open + c.leaving + static_cast<int>(c.held.size()));
         if (wanted == c.slots_wanted && !renews) return;
         c.slots_wanted = wanted, c.slots = std::min(c.slots, wanted);
-        c.slots_asked = now_;
+        c.slots_asked = context_.now();
         if (wanted == 0) c.slots_in_line = 0;  // or a line long gone would turn the next request away
-        c.slot_nonce = std::exchange(next_nonce_, next_nonce_ + 2);
+        c.slot_nonce = context_.next_nonce();
         const SlotRequest request{c.slot_nonce, c.hash, c.plan, c.set_size, c.set_start, wanted};
-        if (wanted > 0) timer(slot_renewal, c.hash, TimerKind::slots);
+        if (wanted > 0) context_.set_timer(slot_renewal, c.hash, TimerKind::permit_renewal);
         const int to = home(c.hash, c.set_start, c.set_size, 0);
-        if (to == s_.rank) lend_slots(request, to);
+        if (to == context_.settings().rank) lend_slots(request, to);
         else post(to, request, true);
     }
     void renew_slots(Customer* c) {
-        if (!c || c->slots_wanted == 0 || now_ - c->slots_asked < slot_renewal || !borrows_slots(*c)) return;
+        if (!c || c->slots_wanted == 0 || context_.now() - c->slots_asked < slot_renewal ||
+            !borrows_slots(*c))
+            return;
         const int to = home(c->hash, c->set_start, c->set_size, 0);
-        if (to != s_.rank && !stalled()) miss(peers_[to], c->slots_asked);
+        if (to != context_.settings().rank && !context_.stalled()) miss(peers_[to], c->slots_asked);
         if (borrows_slots(*c)) return claim_slots(*c, true);
         c->slots_wanted = c->slots_in_line = 0;  // as the home is silent
         fill_slots(*c);
     }
     // One slot each in turn, to who has waited longest first. A holder that is not heard of loses its slots.
     void lend_slots(const SlotRequest& r, int from) {
-        auto& holders = ledger(r.customer, s_.plans[r.plan]).slots;
-        std::erase_if(holders, [this](const SlotHolder& h) { return h.until <= now_; });
+        auto& holders = ledger(r.customer, context_.settings().plans[r.plan]).slots;
+        std::erase_if(holders, [this](const SlotHolder& h) { return h.until <= context_.now(); });
         auto it = std::find_if(holders.begin(), holders.end(), [&](auto& h) { return h.from == from; });
         if (it == holders.end()) it = holders.insert(it, {from, r.nonce});
         else if (static_cast<std::int32_t>(r.nonce - it->nonce) < 0) return;
         if (it->held == it->wanted) std::rotate(it, it + 1, holders.end()), it = holders.end() - 1;
         it->nonce = r.nonce, it->wanted = r.wanted, it->held = std::min(it->held, r.wanted);
-        it->until = now_ + slot_term;
-        int free = s_.plans[r.plan].max_concurrency, in_line = 0;
+        it->until = context_.now() + slot_term;
+        int free = context_.settings().plans[r.plan].max_concurrency, in_line = 0;
         for (const SlotHolder& h : holders) free -= h.held, in_line += h.wanted - h.held;
         std::optional<SlotGrant> own;  // last: what it lets in may come back here
         for (SlotHolder& h : holders) {
@@ -501,10 +498,10 @@
             if (gets) ++h.held, --free, --in_line;
             if (h.wanted == 0 || !(gets || h.from == from)) continue;
             const SlotGrant grant{h.nonce, r.customer, h.held, in_line};
-            if (h.from == s_.rank) own = grant;
+            if (h.from == context_.settings().rank) own = grant;
             else post(h.from, grant, true);
         }
-        if (own) take_slots(*own, s_.rank);
+        if (own) take_slots(*own, context_.settings().rank);
     }
     void take_slots(const SlotGrant& g, int from) {
         Customer* c = customer_of(g.customer);
@@ -527,9 +524,10 @@
         Micros wait{0};
         if (p && pressed_ && p->rate > 0 && p->burst > 0) {
             const double stable_s = 1 / (p->rate * share(c)), warmup_s = p->burst / p->rate;
-            c.limiter.resync(now_, stable_s, warmup_s);
-            wait = c.limiter.next_free - now_;
-            if (now_ + wait > q.latest_start) return refuse(q, wait, RejectionReason::warm_up_limit);
+            c.limiter.resync(context_.now(), stable_s, warmup_s);
+            wait = c.limiter.next_free - context_.now();
+            if (context_.now() + wait > q.latest_start)
+                return refuse(q, wait, RejectionReason::warm_up_limit);
             c.limiter.reserve(k, stable_s, warmup_s);
         }
         q.admitted = true;
@@ -538,68 +536,77 @@
         if (p && p->ceiling_rate > 0) c.hard_reserved += k;
         prefetch(c, k);
         if (wait <= 0us) return dispatch(q);
-        timer(wait, q.arrival.id, TimerKind::release);
+        context_.set_timer(wait, q.arrival.id, TimerKind::release);
     }
 
-    Micros advice(Micros wait) const { return s_.may_send_retry_after ? wait : 0us; }
+    Micros advice(Micros wait) const { return context_.settings().may_send_retry_after ? wait : 0us; }
 
     // ---- choice of a host -------------------------------------------------------------------------------
 
     double capacity_share(const Host& h) const {
-        if (h.entry.started <= 0us || s_.slow_start_time <= 0us) return 1;
-        const double age = seconds(now_ - h.entry.started) / seconds(s_.slow_start_time);
-        return age >= 1 ? 1 : s_.slow_start_capacity + (1 - s_.slow_start_capacity) * std::max(0.0, age);
+        if (h.entry.started <= 0us || context_.settings().slow_start_time <= 0us) return 1;
+        const double age =
+            to_seconds(context_.now() - h.entry.started) / to_seconds(context_.settings().slow_start_time);
+        return age >= 1 ? 1
+                        : context_.settings().slow_start_capacity +
+                              (1 - context_.settings().slow_start_capacity) * std::max(0.0, age);
     }
 
     // A cold host gets the even share of warm ones, scaled to the capacity it surely has, as a chance: the
     // part of a request come due since it was last considered. In sum over all gateways the share holds.
     // Guards against herds on fresh hosts, retries too; harms where requests cost more than their units say.
     bool cold_turn(Host& h, double units) {
-        const double rate = cold_caution * s_.overload_multiple * capacity_share(h) * warm_rate();
-        const Micros span = std::min(now_ - std::exchange(h.looked_at, now_), cold_chance_most);
-        return uniform() * std::max(units, 1e-3) < rate * seconds(span);
+        const double rate =
+            cold_caution * context_.settings().overload_multiple * capacity_share(h) * warm_rate();
+        const Micros span =
+            std::min(context_.now() - std::exchange(h.looked_at, context_.now()), cold_chance_most);
+        return context_.uniform() * std::max(units, 1e-3) < rate * to_seconds(span);
     }
     // Units a second that a warm host gets from here, of those that are warm now: spread over the whole
     // fleet, it would keep cold hosts idle just while few warm ones carry all.
     double warm_rate() {
-        if (now_ - warm_rate_at_ < warm_rate_valid && warm_rate_at_ > 0us) return warm_rate_;
-        warm_rate_at_ = now_;
-        warm_.settle(now_);
+        if (context_.now() - warm_rate_at_ < warm_rate_valid && warm_rate_at_ > 0us) return warm_rate_;
+        warm_rate_at_ = context_.now();
+        warm_.settle(context_.now());
         // A gateway that has started lately has not yet filled its memory.
         const double span =
-            warm_memory_s * (1 - std::exp(-std::max(seconds(now_ - boot_), 0.1) / warm_memory_s));
-        return warm_rate_ = warm_.sent(now_) / (span * (static_cast<double>(warm_.count()) + 1));
+            warm_memory_s * (1 - std::exp(-std::max(to_seconds(context_.now() - context_.started_at()), 0.1) /
+                                          warm_memory_s));
+        return warm_rate_ = warm_.sent(context_.now()) / (span * (static_cast<double>(warm_.count()) + 1));
     }
-    double uniform() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
 
     // Attempts out at a host by all gateways: own ones, and for each other gateway the mean of own attempts,
     // moved to what is out here as far as own attempts can tell. One rule from two gateways to hundreds.
     double load(const Host& h) const {
         const double own = h.out, hosts = static_cast<double>(std::max<std::size_t>(1, order_.size()));
-        const double mean = work_out_.value(now_, warm_memory_s) / (warm_memory_s * hosts);  // Little's law
-        return own + (s_.instances - 1) * mean * (own + own_view) / (mean + own_view);
+        const double mean =
+            work_out_.value(context_.now(), warm_memory_s) / (warm_memory_s * hosts);  // Little's law
+        return own + (context_.settings().instances - 1) * mean * (own + own_view) / (mean + own_view);
     }
 
     // The most attempts out at a host: its own limit as far as its answers are known, else the fleet's.
     double limit(const Host& h) const {
-        const double known = h.answers.value(now_, long_memory_s), trust = known / (known + limit_trust);
+        const double known = h.answers.value(context_.now(), long_memory_s),
+                     trust = known / (known + limit_trust);
         return trust * h.out_limit + (1 - trust) * limit_;
     }
 
-    const RequestClass& class_of(const Request& q) const { return s_.classes[q.arrival.request_class]; }
+    const RequestClass& class_of(const Request& q) const {
+        return context_.settings().classes[q.arrival.request_class];
+    }
     static HostPlace place_of(const Host& h) { return {h.entry.zone, h.entry.cell}; }
     bool may_send(const Request& q, const Host& h) const {
-        return rules_.check_send(class_of(q), q.history, place_of(h), now_) == SendVerdict::allowed;
+        return rules_.check_send(class_of(q), q.history, place_of(h), context_.now()) == SendVerdict::allowed;
     }
 
     // Requests at a host: by its own word while that is fresh, with what went there since, else by estimate.
     double held(const Host& h) const {
-        const double age = seconds(now_ - h.reported_at) / seconds(report_valid);
+        const double age = to_seconds(context_.now() - h.reported_at) / to_seconds(report_valid);
         if (h.reported < 0 || age >= 1) return load(h);
         return (1 - age) * h.reported + age * load(h);
     }
     double cost(const Host& h) const {
-        const double known = h.answers.value(now_, long_memory_s);
+        const double known = h.answers.value(context_.now(), long_memory_s);
         const double like = std::max(answer_s_, 1e-3);
         const double answer = (known * h.answer_s + limit_trust * like) / (known + limit_trust);
         return (held(h) + 1) * answer / (std::max(h.entry.weight, 1e-3) * capacity_share(h));
@@ -613,19 +620,19 @@
         auto behind = order_.behind_front();
         for (std::size_t i = 0; i < order_.size() && seen < sampled; ++i) {
             const bool front = i < order_.front_size();
-            if (front) order_.swap_in_front(i, i + random_() % (order_.front_size() - i));
+            if (front) order_.swap_in_front(i, i + context_.random_bits() % (order_.front_size() - i));
             Host& h = front ? order_.front(i) : **behind++;
-            if (!h.usable() || now_ < h.blocked_until || !may_send(q, h)) continue;
+            if (!h.usable() || context_.now() < h.blocked_until || !may_send(q, h)) continue;
             if (known(h) && held(h) >= limit(h)) continue;
             ++seen;
             const bool cold = capacity_share(h) < 1 && warm_.count() > 0;
             if (cold && cold_turn(h, q.arrival.units)) return {&h};
             if (cold) continue;
-            double c = cost(h) * (0.95 + 0.1 * uniform());
-            if (h.entry.zone != s_.zone) c *= 1 + 5 * s_.cross_zone_cost;
+            double c = cost(h) * (0.95 + 0.1 * context_.uniform());
+            if (h.entry.zone != context_.settings().zone) c *= 1 + 5 * context_.settings().cross_zone_cost;
             if (h.entry.host == q.last_host) c *= 4;
             // Turned this kind away lately while it served others: whatever the cause, those keep the host.
-            if (const auto it = h.shunned.find(q.kind); it != h.shunned.end() && now_ < it->second)
+            if (const auto it = h.shunned.find(q.kind); it != h.shunned.end() && context_.now() < it->second)
                 c *= shun_cost;
             if (!best.second || c < best.first) second = best, best = {c, &h};
             else if (!second.second || c < second.first) second = {c, &h};
@@ -654,25 +661,26 @@
         q.probes_out = static_cast<int>(q.pair.size());
         for (Host* h : q.pair) {
             h->probed_for.push_back(q.arrival.id);
-            if (h->probed_for.size() == 1) actions_->push_back(CheckHealth{h->entry.host});
+            if (h->probed_for.size() == 1) context_.emit(CheckHealth{h->entry.host});
         }
-        timer(probe_due, q.arrival.id, TimerKind::probe);
+        context_.set_timer(probe_due, q.arrival.id, TimerKind::health_check);
         return true;
     }
     // Own attempts out against this gateway's share of what the fleet takes; a share below one is a chance.
     // Guards against hundreds that each see a host without a queue; harms where the others stand idle.
-    bool window_open() { return out_ + uniform() < window(); }
+    bool window_open() { return out_ + context_.uniform() < window(); }
     double window() const {
-        const double even = limit_ * static_cast<double>(order_.size()) / s_.instances;
+        const double even = limit_ * static_cast<double>(order_.size()) / context_.settings().instances;
         return even + window_slack * std::sqrt(even);
     }
     bool known(const Host& h) const {
-        return !s_.may_check_health || h.answers.value(now_, long_memory_s) >= known_answers;
+        return !context_.settings().may_check_health ||
+               h.answers.value(context_.now(), long_memory_s) >= known_answers;
     }
     // By a fresh word of its own a host has room while nothing queues there, whatever the limits learned.
     bool takes(const Host& h) const {
-        const bool fresh = h.reported_at > 0us && now_ - h.reported_at < report_valid;
-        return h.usable() && now_ >= h.blocked_until && (fresh || known(h)) &&
+        const bool fresh = h.reported_at > 0us && context_.now() - h.reported_at < report_valid;
+        return h.usable() && context_.now() >= h.blocked_until && (fresh || known(h)) &&
                ((fresh && h.idle && !h.tells_held) || held(h) < limit(h));
     }
 
@@ -682,7 +690,7 @@
         Host& h = it->second;
         const bool good = e.outcome == Outcome::success;
         if (good) note_report(h, e.report);
-        else h.blocked_until = std::max(h.blocked_until, now_ + report_valid);
+        else h.blocked_until = std::max(h.blocked_until, context_.now() + report_valid);
         for (const RequestId id : std::exchange(h.probed_for, {})) {
             const auto found = requests_.find(id);
             if (found == requests_.end() || !found->second.probing) continue;
@@ -696,8 +704,8 @@
     }
     void note_report(Host& h, const LoadReport& r) {
         // Where hosts tell of themselves, a report that can't be read says nothing, least of all idleness.
-        if (s_.reports == LoadReports::on_probe && r.queued < 0 && r.outstanding < 0) return;
-        h.reported_at = now_, h.tells_held = r.outstanding >= 0;
+        if (context_.settings().reports == LoadReports::on_probe && r.queued < 0 && r.outstanding < 0) return;
+        h.reported_at = context_.now(), h.tells_held = r.outstanding >= 0;
         h.idle = r.queued < 0.5;  // also where the site's hosts tell nothing: the first to answer is taken
         h.reported = r.outstanding >= 0 ? r.outstanding : r.queued >= 0 ? r.queued + load(h) : -1;
     }
@@ -706,7 +714,7 @@
         Host* best = nullptr;
         for (Host* h : q.pair)
             if (takes(*h) && may_send(q, *h) && (!best || cost(*h) < cost(*best))) best = h;
-        if (best && now_ <= q.latest_start) return send_to(q, *best);
+        if (best && context_.now() <= q.latest_start) return send_to(q, *best);
         q.probing = false;
         dispatch(q);
     }
@@ -718,30 +726,33 @@
             touch(c);
             c.hard_level -= q.arrival.units, c.hard_reserved -= q.arrival.units;
         }
-        if (!q.sent) retry_earned_.add(1, now_, long_memory_s), --c.leaving;
+        if (!q.sent) retry_earned_.add(1, context_.now(), long_memory_s), --c.leaving;
         q.sent = true;
         q.waiting = q.probing = false, q.rounds = 0;
-        q.history.begin_attempt(q.history.count(), place_of(h), now_);
+        q.history.begin_attempt(q.history.count(), place_of(h), context_.now());
         ++c.open;
-        q.last_host = h.entry.host, q.last_sent = now_;
+        q.last_host = h.entry.host, q.last_sent = context_.now();
         if (h.reported >= 0) ++h.reported;
-        if (h.out++ == 0) h.last_answer = now_;
+        if (h.out++ == 0) h.last_answer = context_.now();
         ++out_;
         mean_units_ += answer_weight * (q.arrival.units - mean_units_);
-        h.sent.add(q.arrival.units, now_, warm_memory_s);
-        warm_.add_sent(h, q.arrival.units, now_);
+        h.sent.add(q.arrival.units, context_.now(), warm_memory_s);
+        warm_.add_sent(h, q.arrival.units, context_.now());
         const AttemptReason cause = std::exchange(q.next_attempt, AttemptReason::retry);
-        actions_->push_back(SendAttempt{q.arrival.id, h.entry.host, std::max(q.deadline - now_, 1us), cause});
-        const double aim = seconds(s_.classes[q.arrival.request_class].latency_objective);
-        timer(micros(std::clamp(silent_answers * answer_s_, check_earliest * aim, check_latest * aim)),
-              q.arrival.id, TimerKind::check);
+        context_.emit(
+            SendAttempt{q.arrival.id, h.entry.host, std::max(q.deadline - context_.now(), 1us), cause});
+        const double aim = to_seconds(context_.settings().classes[q.arrival.request_class].latency_objective);
+        context_.set_timer(
+            to_micros(std::clamp(silent_answers * answer_s_, check_earliest * aim, check_latest * aim)),
+            q.arrival.id, TimerKind::silence_check);
     }
 
     void dispatch(Request& q) {
-        if (now_ <= q.latest_start && try_send(q)) return;
-        if (now_ >= q.latest_start) return finish(q, RejectionReason::no_host_available);
+        if (context_.now() <= q.latest_start && try_send(q)) return;
+        if (context_.now() >= q.latest_start) return finish(q, RejectionReason::no_host_available);
         if (!std::exchange(q.waiting, true)) waiting_.push_back(q.arrival.id);
-        timer(std::min(wait_again, q.latest_start - now_), q.arrival.id, TimerKind::expiry);
+        context_.set_timer(std::min(wait_again, q.latest_start - context_.now()), q.arrival.id,
+                           TimerKind::expiry);
         // Of more that wait than hosts could soon take, the oldest is answered now, so that its client can
         // come again in time. Guards against a line that only ages; harms if many places come free at once.
         if (static_cast<double>(waiting_.size()) <= waiting_for_each_host * order_.size() + 1) return;
@@ -756,7 +767,7 @@
         for (std::size_t i = waiting_.size(); i-- > 0;) {
             const auto it = requests_.find(waiting_[i]);
             const bool waits = it != requests_.end() && it->second.waiting;
-            if (waits && !(now_ <= it->second.latest_start && try_send(it->second))) continue;
+            if (waits && !(context_.now() <= it->second.latest_start && try_send(it->second))) continue;
             waiting_.erase(waiting_.begin() + static_cast<std::ptrdiff_t>(i));
         }
     }
@@ -764,8 +775,8 @@
     // Final answer: a refusal where it is sure or harmless that nothing ran, else a failure.
     void finish(Request& q, RejectionReason cause) {
         if (rules_.may_refuse(class_of(q), q.history))
-            return refuse(q, q.sent ? 0us : micros(answer_s_), cause);
-        actions_->push_back(FailRequest{q.arrival.id, cause});
+            return refuse(q, q.sent ? 0us : to_micros(answer_s_), cause);
+        context_.emit(FailRequest{q.arrival.id, cause});
         forget(q);
     }
     void forget(Request& q) {
@@ -788,7 +799,7 @@
 
     void judge(Host& h, const AttemptEnded& a, double aim_s) {
         const bool good = a.outcome == Outcome::success;
-        const double took = seconds(a.elapsed);
+        const double took = to_seconds(a.elapsed);
         if (good) {
             h.failures = h.ejections = 0;
             h.answer_s = h.answer_s > 0 ? h.answer_s + answer_weight * (took - h.answer_s)
@@ -797,10 +808,11 @@
         }
         // A time-out counts as slow or bad by its length, and as the host's failure only if that was silent
         // all along. Guards against clients of little patience and costly requests putting good hosts out.
-        const bool late = a.outcome == Outcome::timeout, silent = late && h.last_answer + a.elapsed < now_;
+        const bool late = a.outcome == Outcome::timeout,
+                   silent = late && h.last_answer + a.elapsed < context_.now();
         const bool bad =
             !fast(aim_s) && (a.outcome == Outcome::rejected || (late && took > limit_slow_share * aim_s));
-        h.answers.add(1, now_, long_memory_s);
+        h.answers.add(1, context_.now(), long_memory_s);
         const bool cut = bad || (good && took > limit_slow_share * aim_s);
         const auto learn = [&](double& most, double least, bool near) {
             if (cut) most = std::max(least, most * limit_cut);
@@ -823,8 +835,9 @@
     }
     void fail(Host& h, int weight) {
         h.failures += weight;
-        if (h.failures < eject_after || now_ < h.blocked_until) return;
-        h.blocked_until = now_ + std::min(eject_most, eject_first * (1 << std::min(h.ejections, 4)));
+        if (h.failures < eject_after || context_.now() < h.blocked_until) return;
+        h.blocked_until =
+            context_.now() + std::min(eject_most, eject_first * (1 << std::min(h.ejections, 4)));
         ++h.ejections;
     }
 
@@ -834,23 +847,25 @@
         Customer* customer = nullptr;
         if (host != hosts_.end()) {
             if (host->second.out > 0) --host->second.out, --out_;
-            work_out_.add(seconds(a.elapsed), now_, warm_memory_s);
+            work_out_.add(to_seconds(a.elapsed), context_.now(), warm_memory_s);
             const double aim =
                 found == requests_.end()
                     ? aim_s()
-                    : seconds(s_.classes[found->second.arrival.request_class].latency_objective);
+                    : to_seconds(
+                          context_.settings().classes[found->second.arrival.request_class].latency_objective);
             if (a.report.queued >= 0 || a.report.outstanding >= 0) note_report(host->second, a.report);
-            if (a.outcome == Outcome::success || a.outcome == Outcome::error) host->second.last_answer = now_;
-            if (!stalled()) judge(host->second, a, aim);
+            if (a.outcome == Outcome::success || a.outcome == Outcome::error)
+                host->second.last_answer = context_.now();
+            if (!context_.stalled()) judge(host->second, a, aim);
             if (a.outcome == Outcome::rejected && fast(aim) && found != requests_.end())
-                host->second.shunned[found->second.kind] = now_ + shun_for;
+                host->second.shunned[found->second.kind] = context_.now() + shun_for;
         }
         if (found != requests_.end()) {
             Request& q = found->second;
             customer = q.customer;
             q.history.end_attempt(a.attempt, a.outcome);
             customer->open = std::max(0, customer->open - 1);
-            if (a.actual_units > 0 && s_.units_settled_later && q.in_quota)
+            if (a.actual_units > 0 && context_.settings().units_settled_later && q.in_quota)
                 q.customer->level += q.arrival.units - a.actual_units;
             if (a.request_completed) forget(q);
             else if (q.history.in_flight() == 0) again(q);
@@ -863,28 +878,33 @@
         pump();
     }
     void on(const ResponseStarted& e) {
-        if (const auto host = hosts_.find(e.host); host != hosts_.end()) host->second.last_answer = now_;
+        if (const auto host = hosts_.find(e.host); host != hosts_.end())
+            host->second.last_answer = context_.now();
         if (const auto found = requests_.find(e.id); found != requests_.end()) forget(found->second);
     }
-    double aim_s() const { return s_.classes.empty() ? 1 : seconds(s_.classes.front().latency_objective); }
+    double aim_s() const {
+        return context_.settings().classes.empty()
+                   ? 1
+                   : to_seconds(context_.settings().classes.front().latency_objective);
+    }
 
     // A further attempt, only from the retry budget and only if it can still be in time.
     void again(Request& q) {
         const RequestClass& k = class_of(q);
         // At the host of the last attempt, of whose group a repeat's host must be.
         const RequestHistory::Attempt& last = q.history.attempts().back();
-        const SendVerdict verdict = rules_.check_send(k, q.history, {last.zone, last.cell}, now_);
+        const SendVerdict verdict = rules_.check_send(k, q.history, {last.zone, last.cell}, context_.now());
         if (verdict != SendVerdict::allowed) return finish(q, RejectionReason::retry_not_allowed);
-        if (now_ >= q.latest_start) return finish(q, RejectionReason::too_late_to_retry);
+        if (context_.now() >= q.latest_start) return finish(q, RejectionReason::too_late_to_retry);
         // Turned away among fast answers: another host may well take it, and no work is added.
-        const bool spare = !q.history.may_have_run() && fast(seconds(k.latency_objective));
+        const bool spare = !q.history.may_have_run() && fast(to_seconds(k.latency_objective));
         if (!spare && !take_retry()) return finish(q, RejectionReason::retry_budget_exhausted);
         dispatch(q);
     }
     bool take_retry() {
-        const double earned = retry_earned_.value(now_, long_memory_s) * retry_share + retry_floor;
-        if (retry_spent_.value(now_, long_memory_s) + 1 > earned) return false;
-        retry_spent_.add(1, now_, long_memory_s);
+        const double earned = retry_earned_.value(context_.now(), long_memory_s) * retry_share + retry_floor;
+        if (retry_spent_.value(context_.now(), long_memory_s) + 1 > earned) return false;
+        retry_spent_.add(1, context_.now(), long_memory_s);
         return true;
     }
 
@@ -892,21 +912,24 @@
     // ejected. Guards against silent death, cut links, stalls; harms a slow lone request.
     void check(Request& q) {
         if (q.history.in_flight() == 0 || q.waiting) return;
-        if (stalled()) return timer(beat_period, q.arrival.id, TimerKind::check);
+        if (context_.stalled())
+            return context_.set_timer(Context::heartbeat_period(), q.arrival.id, TimerKind::silence_check);
         const auto it = hosts_.find(q.last_host);
         if (it == hosts_.end()) return;
         Host& h = it->second;
-        const double quiet = seconds(now_ - std::max(h.last_answer, q.last_sent));
+        const double quiet = to_seconds(context_.now() - std::max(h.last_answer, q.last_sent));
         const double missing = h.out * quiet / std::max(h.answer_s > 0 ? h.answer_s : answer_s_, 1e-3);
         if (missing < silent_answers || quiet < check_earliest * aim_s()) return;
         fail(h, eject_after);
         const bool safe = class_of(q).idempotency == Idempotency::idempotent;
-        if (!safe || q.history.count() >= s_.max_attempts || now_ >= q.latest_start) return;
-        if (s_.may_hedge && take_retry()) {
+        if (!safe || q.history.count() >= context_.settings().max_attempts ||
+            context_.now() >= q.latest_start)
+            return;
+        if (context_.settings().may_hedge && take_retry()) {
             q.next_attempt = AttemptReason::hedge;
             try_send(q);
-        } else if (!s_.may_hedge && s_.may_cancel)
-            actions_->push_back(CancelAttempt{q.arrival.id, q.history.count() - 1});
+        } else if (!context_.settings().may_hedge && context_.settings().may_cancel)
+            context_.emit(CancelAttempt{q.arrival.id, q.history.count() - 1});
     }
 
     // Nobody waits for its attempts any more. Guards against hosts that work on for clients who have left;
@@ -915,9 +938,10 @@
         const auto it = requests_.find(e.id);
         if (it == requests_.end()) return;
         const RequestHistory& history = it->second.history;
-        for (int attempt = 0; history.in_flight() > 0 && s_.may_cancel && attempt < history.count();
+        for (int attempt = 0;
+             history.in_flight() > 0 && context_.settings().may_cancel && attempt < history.count();
              ++attempt)
-            actions_->push_back(CancelAttempt{e.id, attempt});
+            context_.emit(CancelAttempt{e.id, attempt});
         forget(it->second);
     }
 
@@ -944,7 +968,7 @@
         if (e.complete_list)
             for (const std::string& name : gone_) note_warmth(hosts_.at(name));
         // The first one is the list known at the start, of any age.
-        if (std::exchange(knows_a_list_, true)) lists_heard_at_ = now_;
+        if (std::exchange(knows_a_list_, true)) lists_heard_at_ = context_.now();
         drop_gone();
         pump();
     }
@@ -956,24 +980,26 @@
         const bool known = !fresh || left != left_hosts_.end();
         const Micros former = fresh && known ? left->second.told_start : h.told_start;
         if (!fresh && entry.started == former) return h.entry.started;
-        const Micros told = std::min(entry.started, now_);
+        const Micros told = std::min(entry.started, context_.now());
         const bool restarted = known && entry.started > 0us && entry.started != former;
-        return restarted && told < lists_heard_at_ - told_late_most ? now_ : told;
+        return restarted && told < lists_heard_at_ - told_late_most ? context_.now() : told;
     }
     void start_anew(Host& h, const std::string& name) {
-        warm_.remove(h, now_);
+        warm_.remove(h, context_.now());
         h.out = std::exchange(h, Host{}).out;
-        h.looked_at = h.last_answer = now_;
+        h.looked_at = h.last_answer = context_.now();
         h.out_limit = limit_start;
-        h.place = name_hash(name + ' ' + std::to_string(s_.rank));
+        h.place = name_hash(name + ' ' + std::to_string(context_.settings().rank));
         h.banned = banned_.count(name) > 0;
     }
     // A ban holds until operators lift it. The host comes back as one that starts now: they restart it
     // meanwhile, and the list tells so late or never. Harms by a cold time for one that was not restarted.
     void on(const HostBanned& e) {
         if (e.banned ? !banned_.insert(e.host).second : banned_.erase(e.host) == 0) return;
-        if (!e.banned && s_.slow_start_time > 0us) put_back_[e.host] = now_;
-        std::erase_if(put_back_, [this](const auto& b) { return now_ - b.second > s_.slow_start_time; });
+        if (!e.banned && context_.settings().slow_start_time > 0us) put_back_[e.host] = context_.now();
+        std::erase_if(put_back_, [this](const auto& b) {
+            return context_.now() - b.second > context_.settings().slow_start_time;
+        });
         if (const auto it = hosts_.find(e.host); it != hosts_.end()) {
             Host& h = it->second;
             if (e.banned) h.banned = true;
@@ -982,7 +1008,7 @@
                 const Micros told = h.told_start;
                 start_anew(h, e.host);
                 h.entry = entry, h.told_start = told;
-                h.entry.started = std::max(now_, entry.started);
+                h.entry.started = std::max(context_.now(), entry.started);
             }
             note_warmth(h);
         }
@@ -997,39 +1023,43 @@
         std::erase_if(gone_, [&](const std::string& name) {
             const auto it = hosts_.find(name);
             if (!ended(&it->second)) return false;
-            warm_.remove(it->second, now_);
+            warm_.remove(it->second, context_.now());
             order_.erase(it->second);
-            left_hosts_[name] = {it->second.told_start, now_};
+            left_hosts_[name] = {it->second.told_start, context_.now()};
             hosts_.erase(it);
             return true;
         });
         list_hosts();
     }
     void note_warmth(Host& h) {
-        const bool cold_once = h.entry.started > 0us && s_.slow_start_time > 0us;
-        warm_.update(h, cold_once ? h.entry.started + s_.slow_start_time : 0us, now_);
+        const bool cold_once = h.entry.started > 0us && context_.settings().slow_start_time > 0us;
+        warm_.update(h, cold_once ? h.entry.started + context_.settings().slow_start_time : 0us,
+                     context_.now());
     }
     void list_hosts() {
         order_.restart();
-        warm_.settle(now_);
+        warm_.settle(context_.now());
         warm_rate_at_ = 0us;
     }
 
     // ---- leases among gateways ------------------------------------------------------------------------
 
     void on(const MessageArrived& m) {
-        if (m.from < 0 || m.from >= s_.instances || m.from == s_.rank || handed_) return;
+        if (m.from < 0 || m.from >= context_.settings().instances || m.from == context_.settings().rank ||
+            handed_)
+            return;
         const auto messages = unpack(m.bytes);
         if (!messages) return;
-        taken_in_.add(1, now_, intake_memory_s);
+        taken_in_.add(1, context_.now(), intake_memory_s);
         Peer& peer = peers_[m.from];
         peer.lost = 0, peer.silent_until = 0us;
-        if (now_ - heard_since_ >= silent_for) heard_before_ = std::exchange(heard_, 0), heard_since_ = now_;
-        if (std::exchange(peer.heard, now_) < heard_since_) ++heard_;
+        if (context_.now() - heard_since_ >= silent_for)
+            heard_before_ = std::exchange(heard_, 0), heard_since_ = context_.now();
+        if (std::exchange(peer.heard, context_.now()) < heard_since_) ++heard_;
         for (const PeerMessage& message : *messages) {
             const auto sound = [this](const auto& r) {
-                return r.plan < static_cast<int>(s_.plans.size()) && r.set_size >= 1 &&
-                       r.set_size <= s_.instances;
+                return r.plan < static_cast<int>(context_.settings().plans.size()) && r.set_size >= 1 &&
+                       r.set_size <= context_.settings().instances;
             };
             if (const auto* request = std::get_if<LeaseRequest>(&message); request && sound(*request))
                 post(m.from, grant(*request), request->need > 0 || request->hard > 0);
@@ -1049,34 +1079,37 @@
         else flush_in(to, peer, no_hurry());
     }
     double message_rate() const {
-        const double talkers = std::clamp(std::max(heard_, heard_before_), 1, s_.instances);
-        const double most = s_.messages_per_s * intake_share, taken = taken_in_.value(now_, intake_memory_s);
+        const double talkers = std::clamp(std::max(heard_, heard_before_), 1, context_.settings().instances);
+        const double most = context_.settings().messages_per_s * intake_share,
+                     taken = taken_in_.value(context_.now(), intake_memory_s);
         return std::max({1.0, most / talkers, most - taken / intake_memory_s});
     }
     // How long what no request waits for may lie, to go along with what one does.
-    Micros no_hurry() const { return micros(1 / (message_rate() * no_hurry_share)); }
+    Micros no_hurry() const { return to_micros(1 / (message_rate() * no_hurry_share)); }
     void flush(int to, Peer& peer) {
         const double rate = message_rate();
-        peer.tokens = std::min(message_burst, peer.tokens + rate * seconds(now_ - peer.tokens_at));
-        peer.tokens_at = now_;
+        peer.tokens =
+            std::min(message_burst, peer.tokens + rate * to_seconds(context_.now() - peer.tokens_at));
+        peer.tokens_at = context_.now();
         while (!peer.outbox.empty() && peer.tokens >= 1) {
             peer.tokens -= 1;
-            actions_->push_back(SendMessage{to, pack(peer.outbox)});
+            context_.emit(SendMessage{to, pack(peer.outbox)});
             const auto sent = static_cast<std::ptrdiff_t>(std::min(peer.outbox.size(), most_together));
             peer.outbox.erase(peer.outbox.begin(), peer.outbox.begin() + sent);
         }
-        if (!peer.outbox.empty()) flush_in(to, peer, micros((1 - peer.tokens) / rate));
+        if (!peer.outbox.empty()) flush_in(to, peer, to_micros((1 - peer.tokens) / rate));
     }
     void flush_in(int to, Peer& peer, Micros wait) {
-        if (peer.flush_at > now_ && peer.flush_at <= now_ + wait) return;
-        peer.flush_at = now_ + wait;
-        timer(wait, static_cast<RequestId>(to), TimerKind::flush);
+        if (peer.flush_at > context_.now() && peer.flush_at <= context_.now() + wait) return;
+        peer.flush_at = context_.now() + wait;
+        context_.set_timer(wait, static_cast<RequestId>(to), TimerKind::flush);
     }
 
     void take_grant(int from, LeaseGrant given) {
         const auto it = leases_due_.find(given.nonce);
         if (it == leases_due_.end() || it->second.to != from) return;
-        if (now_ - it->second.sent > 2 * grant_due) given.hard = 0;  // the granter's share may have refilled
+        if (context_.now() - it->second.sent > 2 * grant_due)
+            given.hard = 0;  // the granter's share may have refilled
         const bool overdue = it->second.overdue, ahead = it->second.ahead;
         Customer& c = close(it);
         if (!overdue && !ahead) receive(c, given);
@@ -1089,7 +1122,7 @@
     void lease_overdue(std::uint32_t nonce) {
         const auto it = leases_due_.find(nonce);
         if (it == leases_due_.end()) return;
-        if (stalled()) return timer(grant_due, nonce, TimerKind::lease);
+        if (context_.stalled()) return context_.set_timer(grant_due, nonce, TimerKind::lease_request);
         miss(peers_[it->second.to], it->second.sent);
         Customer& c = *it->second.customer;
         it->second.overdue = true, ++c.overdue;
@@ -1099,7 +1132,8 @@
     // Who was heard since is there: the request or its grant was lost, or waits its turn. Guards against
     // successors that give a second time what the home gives.
     void miss(Peer& peer, Micros since) {
-        if (peer.heard < since && ++peer.lost >= silent_after) peer.silent_until = now_ + silent_for;
+        if (peer.heard < since && ++peer.lost >= silent_after)
+            peer.silent_until = context_.now() + silent_for;
     }
     Customer& close(std::unordered_map<std::uint32_t, PendingLease>::iterator lease) {
         Customer& c = *lease->second.customer;
@@ -1116,7 +1150,7 @@
     // lease is refused. Guards against two processes that spend one quota; harms those few requests.
     void on(const HandedOver& e) {
         if (!std::exchange(handed_, e.away) && e.away) {
-            actions_->push_back(SaveSnapshot{state()});
+            context_.emit(SaveSnapshot{state()});
             ledgers_.clear(), leases_due_.clear();
             std::vector<RequestId> lack;
             for (auto& [name, c] : customers_) {
@@ -1132,17 +1166,21 @@
                     refuse(it->second, 0us, RejectionReason::handed_over);
         }
         // Taken back: as after a start, a former life may have spent all that is not left here.
-        if (!e.away) boot_ = now_;
-        for (auto& [name, c] : customers_) c.touched = now_, c.level = 0, c.hard_level = c.hard_reserved;
+        if (!e.away) context_.restart_at(context_.now());
+        for (auto& [name, c] : customers_)
+            c.touched = context_.now(), c.level = 0, c.hard_level = c.hard_reserved;
     }
     template <class S>
     void common_state(S& s) {
-        s(next_nonce_, answer_s_, slow_share_, pressed_, mean_units_, boot_, limit_, work_out_, retry_earned_,
-          retry_spent_, banned_, put_back_);
+        context_.serialize_nonce(s);
+        s(answer_s_, slow_share_, pressed_, mean_units_);
+        context_.serialize_start(s);
+        s(limit_, work_out_, retry_earned_, retry_spent_, banned_, put_back_);
     }
     std::string state() {
-        StateWriter w;
-        w(state_version, now_);
+        SnapshotWriter w;
+        Micros now = context_.now();
+        w(state_version, now);
         common_state(w);
         w(hosts_, ledgers_, customers_);
         return w.take();
@@ -1158,16 +1196,16 @@
             c.hard_level -= std::exchange(c.hard_reserved, 0), c.open += std::exchange(c.leaving, 0);
             if (c.open > 0) inherited_.emplace_back(&c, c.open);
         }
-        timer(micros(inherited_answers * answer_s_), 0, TimerKind::inherited);
+        context_.set_timer(to_micros(inherited_answers * answer_s_), 0, TimerKind::inherited_in_flight);
         list_hosts();
     }
     void take_over(const std::string& bytes) {
-        StateReader r(bytes);
+        SnapshotReader r(bytes);
         std::uint32_t version = 0;
         if (r(version), version != state_version) return;
         Micros left_at{0};
         r(left_at);
-        r.move_times(now_ - left_at);
+        r.move_times(context_.now() - left_at);
         common_state(r);
         std::map<std::string, Host> left;
         r(left);
@@ -1179,12 +1217,12 @@
             h.entry.started = seen.entry.started = std::max(seen.entry.started, h.entry.started);
             if (h.told_start > seen.told_start) continue;
             seen.entry = h.entry, seen.place = h.place, seen.out = h.out;
-            warm_.remove(h, now_);
+            warm_.remove(h, context_.now());
             h = std::move(seen);
             note_warmth(h);
         }
         for (auto& [name, h] : hosts_)
-            if ((h.banned = banned_.count(name) > 0)) warm_.remove(h, now_);
+            if ((h.banned = banned_.count(name) > 0)) warm_.remove(h, context_.now());
         r(ledgers_, customers_);
     }
     // The attempts that the former process had out are over by now, as far as this one can tell.
@@ -1195,23 +1233,19 @@
 
     // ---- timers -----------------------------------------------------------------------------------------
 
-    void timer(Micros wait, RequestId id, TimerKind kind) {
-        const auto token = id * timer_kinds + static_cast<std::uint64_t>(kind);
-        actions_->push_back(SetTimer{std::max(wait, 1us), token});
-    }
-
     void on(const TimerFired& t) {
-        const auto kind = static_cast<TimerKind>(t.token % timer_kinds);
-        const std::uint64_t about = t.token / timer_kinds;
-        if (kind == TimerKind::lease) return lease_overdue(static_cast<std::uint32_t>(about));
+        const auto [kind, about] = read_timer_token(t.token);
+        if (kind == TimerKind::lease_request) return lease_overdue(static_cast<std::uint32_t>(about));
         if (kind == TimerKind::flush) {
             const auto peer = peers_.find(static_cast<int>(about));
-            if (peer != peers_.end() && now_ >= peer->second.flush_at) flush(peer->first, peer->second);
+            if (peer != peers_.end() && context_.now() >= peer->second.flush_at)
+                flush(peer->first, peer->second);
             return;
         }
-        if (kind == TimerKind::beat && about == 0) return beat();
-        if (kind == TimerKind::inherited) return end_inherited();
-        if (kind == TimerKind::slots) return renew_slots(customer_of(static_cast<std::uint32_t>(about)));
+        if (kind == TimerKind::heartbeat && about == 0) return beat();
+        if (kind == TimerKind::inherited_in_flight) return end_inherited();
+        if (kind == TimerKind::permit_renewal)
+            return renew_slots(customer_of(static_cast<std::uint32_t>(about)));
         const auto it = requests_.find(about);
         if (it == requests_.end()) return pump();
         Request& q = it->second;
@@ -1220,43 +1254,39 @@
         else if (kind == TimerKind::expiry && q.waiting) q.rounds = 0, dispatch(q);
         // A grant that comes later would find it too late to leave. Guards against lost requests and slow
         // homes that hold a refusal back until the client is about to give up.
-        else if (kind == TimerKind::expiry && !q.admitted && now_ >= q.latest_start)
+        else if (kind == TimerKind::expiry && !q.admitted && context_.now() >= q.latest_start)
             finish(q, RejectionReason::no_lease_in_time);
-        else if (kind == TimerKind::check) check(q);
-        else if (kind == TimerKind::probe && q.probing) choose(q);
+        else if (kind == TimerKind::silence_check) check(q);
+        else if (kind == TimerKind::health_check && q.probing) choose(q);
         pump();
     }
 
-    // A beat far too late tells of an own stall: in the backlog found with it waiting looks like others'
-    // silence and answers look slow, so nothing is judged by it. Harms where real silence falls into one.
-    bool stalled() const { return now_ == stalled_at_ || now_ - last_beat_ > stall_after; }
     void beat() {
-        if (last_beat_ > 0us && stalled()) stalled_at_ = now_;
-        last_beat_ = now_;
-        timer(beat_period, 0, TimerKind::beat);
-        if (now_ - swept_at_ < sweep_period) return;
-        swept_at_ = now_;
+        context_.heartbeat();
+        if (context_.now() - swept_at_ < sweep_period) return;
+        swept_at_ = context_.now();
         drop_gone();  // and ages out who is idle; a customer that still has requests in hand stays
-        std::erase_if(left_hosts_, [this](const auto& l) { return now_ - l.second.left >= left_hosts_kept; });
-        std::erase_if(peers_, [this](const auto& p) { return now_ - p.second.tokens_at >= idle_after_; });
-        std::erase_if(ledgers_, [this](const auto& l) { return now_ - l.second.touched >= idle_after_; });
+        std::erase_if(left_hosts_,
+                      [this](const auto& l) { return context_.now() - l.second.left >= left_hosts_kept; });
+        std::erase_if(peers_,
+                      [this](const auto& p) { return context_.now() - p.second.tokens_at >= idle_after_; });
+        std::erase_if(ledgers_,
+                      [this](const auto& l) { return context_.now() - l.second.touched >= idle_after_; });
         for (auto it = leases_due_.begin(); it != leases_due_.end();) {
             const auto lease = it++;  // in any order: nothing is done but to forget
-            if (lease->second.overdue && now_ - lease->second.sent >= sweep_period) close(lease);
+            if (lease->second.overdue && context_.now() - lease->second.sent >= sweep_period) close(lease);
         }
         std::erase_if(customers_, [this](const auto& c) {
-            return now_ - c.second.last_use >= idle_after_ && c.second.requests == 0 && c.second.open == 0 &&
-                   c.second.nonce == 0 && !c.second.prefetching && c.second.overdue == 0;
+            return context_.now() - c.second.last_use >= idle_after_ && c.second.requests == 0 &&
+                   c.second.open == 0 && c.second.nonce == 0 && !c.second.prefetching &&
+                   c.second.overdue == 0;
         });
     }
 
-    const Settings s_;
+    Context context_;
     const RequestRules rules_;
-    std::mt19937_64 random_;
-    Micros boot_, now_{0}, idle_after_ = idle_least;
-    Actions* actions_ = nullptr;
-    Micros warm_rate_at_{0}, last_beat_{0}, stalled_at_{0}, swept_at_{0};
-    std::uint32_t next_nonce_ = 1;
+    Micros idle_after_ = idle_least;
+    Micros warm_rate_at_{0}, swept_at_{0};
     std::unordered_map<std::string, Customer> customers_;
     std::unordered_map<std::uint32_t, Ledger> ledgers_;           // by hash of the customer's name
     std::unordered_map<std::uint32_t, PendingLease> leases_due_;  // by nonce
@@ -1276,10 +1306,10 @@
     bool knows_a_list_ = false;
     HostOrder<Host> order_{kept};
     WarmHosts<Host> warm_{warm_memory_s};
-    Fading taken_in_;                   // messages
+    DecayingCounter taken_in_;          // messages
     int heard_ = 0, heard_before_ = 0;  // peers that spoke in this window and the one before
     Micros heard_since_{0};
-    Fading work_out_, retry_earned_, retry_spent_;
+    DecayingCounter work_out_, retry_earned_, retry_spent_;
     double probes_ = probes_kept;  // that may be sent
     double answer_s_ = 0, slow_share_ = 0, mean_units_ = 1, warm_rate_ = 0, limit_ = limit_least;
     bool pressed_ = false, handed_ = false;
--- a/src/decision/host_index.h
+++ b/src/decision/host_index.h
@@ -111,7 +111,7 @@
 
     double memory_s_;
     std::size_t count_ = 0;
-    Fading sent_;
+    DecayingCounter sent_;
     std::set<Host*, ByTime> awaited_;  // usable ones that are still cold
 };
 
--- a/src/decision/records.h
+++ b/src/decision/records.h
@@ -8,23 +8,12 @@
 #include <string>
 #include <vector>
 
+#include "decaying_counter.h"
 #include "gateway/interface.h"
 #include "gateway/request_rules.h"
 
 namespace gateway::decision {
 
-inline double seconds(Micros t) { return static_cast<double>(t.count()) / 1e6; }
-inline Micros micros(double s) { return Micros(static_cast<std::int64_t>(std::clamp(s, 0.0, 4e3) * 1e6)); }
-
-// An amount that fades with a fixed memory; over that memory it reads as a rate.
-struct Fading {
-    double amount = 0;
-    Micros at{0};
-    double value(Micros now, double memory) const { return amount * std::exp(-seconds(now - at) / memory); }
-    void add(double x, Micros now, double memory) { amount = value(now, memory) + x, at = now; }
-    void state(auto& s) { s(amount, at); }
-};
-
 // A gateway of the set, by what it holds and wants of the open cap.
 struct SlotHolder {
     int from = 0;
@@ -36,9 +25,9 @@
 struct Ledger {
     double level = 0, hard = 0;
     Micros touched{0}, promised{0};  // by when those turned away could all have been given what they lacked
-    Fading asked;                    // units asked for by all gateways
+    DecayingCounter asked;           // units asked for by all gateways
     std::vector<SlotHolder> slots;   // who waits longest first
-    void state(auto& s) { s(level, hard, touched, promised, asked); }
+    void serialize(auto& codec) { codec(level, hard, touched, promised, asked); }
 };
 
 // Whether a host counts among the warm ones, and from when on it will.
@@ -55,8 +44,8 @@
     double out_limit = 0;           // attempts, by all gateways
     std::map<int, Micros> shunned;  // by kind of request, until when
     Micros last_answer{0}, blocked_until{0};
-    Fading answers, sent;  // seen here lately; units sent there
-    double answer_s = 0;   // mean answer time; 0: none seen
+    DecayingCounter answers, sent;  // seen here lately; units sent there
+    double answer_s = 0;            // mean answer time; 0: none seen
     int failures = 0, ejections = 0;
     Micros told_start{0};                   // by the list; the entry's may be later, for a host put back
     Micros looked_at{0}, reported_at{0};    // when last considered while cold, when it told of itself
@@ -64,10 +53,10 @@
     bool idle = false, tells_held = false;  // by its own word: nothing queues there, what it holds
     std::vector<RequestId> probed_for;      // those that wait for the probe that is out
     Warmth warmth;
-    void state(auto& s) {
-        s.stamp(told_start);
-        s.stamp(entry.started);
-        s(out_limit, answer_s, failures, ejections, looked_at, last_answer, blocked_until, answers, sent);
+    void serialize(auto& codec) {
+        codec.stamp(told_start);
+        codec.stamp(entry.started);
+        codec(out_limit, answer_s, failures, ejections, looked_at, last_answer, blocked_until, answers, sent);
     }
 };
 
--- a/src/decision/snapshot_codec.h
+++ b/src/decision/snapshot_codec.h
@@ -1,5 +1,5 @@
 // Bytes of the state that one version of the module leaves to the next: plain values, one after the other.
-// What holds several tells which in `state`, the same for both directions.
+// What holds several tells which in `serialize`, the same for both directions.
 #pragma once
 
 #include <algorithm>
@@ -24,7 +24,7 @@
     typename T::mapped_type;
 };
 
-class StateWriter {
+class SnapshotWriter {
   public:
     template <class... Values>
     void operator()(Values&... values) {
@@ -48,7 +48,7 @@
         } else if constexpr (std::is_arithmetic_v<T>) {
             bytes_.append(reinterpret_cast<const char*>(&value), sizeof value);
         } else {
-            value.state(*this);
+            value.serialize(*this);
         }
     }
     void put_size(std::size_t size) {
@@ -75,9 +75,9 @@
 };
 
 // Throws std::out_of_range where the bytes end too soon.
-class StateReader {
+class SnapshotReader {
   public:
-    explicit StateReader(std::string_view bytes) : rest_(bytes) {}
+    explicit SnapshotReader(std::string_view bytes) : rest_(bytes) {}
     // From now on each time but 0, which stands for none, is moved by so much: the writer's clock had another
     // origin.
     void move_times(std::chrono::microseconds by) { moved_by_ = by; }
@@ -118,7 +118,7 @@
         } else if constexpr (std::is_arithmetic_v<T>) {
             std::memcpy(&value, cut(sizeof value).data(), sizeof value);
         } else {
-            value.state(*this);
+            value.serialize(*this);
         }
     }
     std::string_view rest_;
