--- a/src/decision/context.h
+++ b/src/decision/context.h
@@ -47,6 +47,10 @@
     [[nodiscard]] Micros started_at() const noexcept { return started_at_; }
     void restart_at(Micros time) noexcept { started_at_ = time; }
 
+    // Whether another process has taken over, so that this one admits nothing.
+    [[nodiscard]] bool handed_over() const noexcept { return handed_over_; }
+    void set_handed_over(bool handed_over) noexcept { handed_over_ = handed_over; }
+
     // 64 random bits. Each draw counts: the order of draws decides on all later ones.
     [[nodiscard]] std::uint64_t random_bits() { return random_(); }
     // Uniform in [0, 1).
@@ -56,7 +60,7 @@
 
     template <class Emitted>
     void emit(Emitted action) {
-        actions_->push_back(std::move(action));
+        actions_->emplace_back(std::move(action));
     }
     // Asks for TimerFired after `wait`, 1 us at least. `subject`: what the timer is about, by its kind.
     void set_timer(Micros wait, std::uint64_t subject, TimerKind kind);
@@ -81,6 +85,7 @@
     Micros last_heartbeat_{0};
     Micros stall_ended_at_{0};  // the event in which a stall was noticed
     std::uint32_t next_nonce_ = 1;
+    bool handed_over_ = false;
     Actions* actions_ = nullptr;
 };
 
--- /dev/null
+++ b/src/decision/health_checker.cpp
@@ -0,0 +1,30 @@
+#include "health_checker.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace gateway::decision {
+namespace {
+constexpr double checks_per_request = 12;  // by all gateways together
+}
+
+void HealthChecker::earn() {
+    budget_ = std::min(max_saved, budget_ + checks_per_request / context_.settings().instances);
+}
+
+bool HealthChecker::take(std::size_t checks) {
+    if (budget_ < static_cast<double>(checks)) return false;
+    budget_ -= static_cast<double>(checks);
+    return true;
+}
+
+void HealthChecker::request(Host& host, RequestId id) {
+    host.awaiting_health_check.push_back(id);
+    if (host.awaiting_health_check.size() == 1) context_.emit(CheckHealth{host.entry.host});
+}
+
+std::vector<RequestId> HealthChecker::finish(Host& host) {
+    return std::exchange(host.awaiting_health_check, {});
+}
+
+}  // namespace gateway::decision
--- a/src/decision/host_index.h
+++ b/src/decision/host_index.h
@@ -1,16 +1,13 @@
-// Indexes over a gateway's hosts whose upkeep costs, for each changed host, a time logarithmic in their
-// number. They hold no host and decide nothing.
+// The order in which a gateway considers its hosts. A change of one host costs a time logarithmic in their
+// number. Holds pointers to hosts that others own, and decides nothing.
 #pragma once
 
-#include <algorithm>
 #include <cstddef>
 #include <iterator>
 #include <set>
 #include <tuple>
 #include <vector>
 
-#include "records.h"
-
 namespace gateway::decision {
 
 // By the host's place, then by its name. Neither changes while the host is in an index.
@@ -55,64 +52,4 @@
     Iterator behind_front_ = by_place_.begin();
 };
 
-// Counts the usable hosts that are warm, and sums what was sent to them. What each host needs of it stands in
-// the host: `warmth`, `sent`, `usable()` and its place. A host that is still cold counts from the first
-// `settle` after it has become warm.
-template <class Host>
-class WarmHosts {
-  public:
-    // `memory_s`: of what was sent, in seconds, the same as the hosts' own.
-    explicit WarmHosts(double memory_s) : memory_s_(memory_s) {}
-
-    // The host is usable or not, and warm from then on.
-    void update(Host& host, Micros warm_from, Micros now) {
-        remove(host, now);
-        if (!host.usable()) return;
-        host.warmth.from = warm_from;
-        if (warm_from <= now) return count_in(host, now);
-        host.warmth.awaited = true;
-        awaited_.insert(&host);
-    }
-    // Before the host ends, or what was sent to it is forgotten.
-    void remove(Host& host, Micros now) {
-        if (std::exchange(host.warmth.awaited, false)) awaited_.erase(&host);
-        if (!std::exchange(host.warmth.counted, false)) return;
-        --count_;
-        sent_.add(-host.sent.value(now, memory_s_), now, memory_s_);
-    }
-    void settle(Micros now) {
-        while (!awaited_.empty() && (*awaited_.begin())->warmth.from <= now) {
-            Host& host = **awaited_.begin();
-            awaited_.erase(awaited_.begin());
-            host.warmth.awaited = false;
-            count_in(host, now);
-        }
-    }
-    // The same was added to the host's own sum.
-    void add_sent(const Host& host, double units, Micros now) {
-        if (host.warmth.counted) sent_.add(units, now, memory_s_);
-    }
-    std::size_t count() const { return count_; }
-    // Units, fading with the memory.
-    double sent(Micros now) const { return std::max(0.0, sent_.value(now, memory_s_)); }
-
-  private:
-    struct ByTime {
-        bool operator()(const Host* a, const Host* b) const {
-            if (a->warmth.from != b->warmth.from) return a->warmth.from < b->warmth.from;
-            return ByPlace{}(a, b);
-        }
-    };
-    void count_in(Host& host, Micros now) {
-        host.warmth.counted = true;
-        ++count_;
-        sent_.add(host.sent.value(now, memory_s_), now, memory_s_);
-    }
-
-    double memory_s_;
-    std::size_t count_ = 0;
-    DecayingCounter sent_;
-    std::set<Host*, ByTime> awaited_;  // usable ones that are still cold
-};
-
 }  // namespace gateway::decision
--- /dev/null
+++ b/src/decision/host_selector.cpp
@@ -0,0 +1,87 @@
+#include "host_selector.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace gateway::decision {
+namespace {
+constexpr std::size_t hosts_considered = 12;  // for one request
+constexpr double cost_noise_least = 0.95;     // random factor on costs, which breaks ties
+constexpr double cost_noise_range = 0.1;
+constexpr double cross_zone_factor = 5;  // on the settings' price of another zone
+constexpr double same_host_factor = 4;   // on the host of the last attempt
+constexpr double min_weight = 1e-3;
+}  // namespace
+
+bool HostSelector::may_take(const Host& host, const Request& request) const {
+    const auto class_index = static_cast<std::size_t>(request.arrival.request_class);
+    const RequestClass& request_class = context_.settings().classes[class_index];
+    const HostPlace place{host.entry.zone, host.entry.cell};
+    return rules_.check_send(request_class, request.history, place, context_.now()) == SendVerdict::allowed;
+}
+
+bool HostSelector::is_available(const Host& host, const Request& request) const {
+    if (!host.usable() || outliers_.is_ejected(host) || !may_take(host, request)) return false;
+    return !load_.is_known(host) || load_.outstanding(host) < load_.limit(host);
+}
+
+bool HostSelector::has_capacity(const Host& host) const {
+    if (!host.usable() || outliers_.is_ejected(host)) return false;
+    const bool fresh = load_.has_fresh_report(host);
+    if (!fresh && !load_.is_known(host)) return false;
+    const bool reports_idle = fresh && host.load.idle && !host.load.reports_outstanding;
+    return reports_idle || load_.outstanding(host) < load_.limit(host);
+}
+
+double HostSelector::cost(const Host& host) const {
+    const double capacity = std::max(host.entry.weight, min_weight) * slow_start_.capacity_share(host);
+    return (load_.outstanding(host) + 1) * load_.blended_response_s(host) / capacity;
+}
+
+double HostSelector::cost(const Host& host, const Request& request) {
+    double total = cost(host) * (cost_noise_least + cost_noise_range * context_.uniform());
+    if (host.entry.zone != context_.settings().zone)
+        total *= 1 + cross_zone_factor * context_.settings().cross_zone_cost;
+    if (host.entry.host == request.last_host) total *= same_host_factor;
+    return total * outliers_.cost_factor(host, request.traffic_class);
+}
+
+std::vector<Host*> HostSelector::select(const Request& request) {
+    std::pair<double, Host*> best{0, nullptr};
+    std::pair<double, Host*> second{0, nullptr};
+    std::size_t considered = 0;
+    HostOrder<Host>& order = hosts_.order();
+    auto behind_front = order.behind_front();
+    for (std::size_t i = 0; i < order.size() && considered < hosts_considered; ++i) {
+        const bool in_front = i < order.front_size();
+        if (in_front) order.swap_in_front(i, i + context_.random_bits() % (order.front_size() - i));
+        Host& host = in_front ? order.front(i) : **behind_front++;
+        if (!is_available(host, request)) continue;
+        ++considered;
+        if (slow_start_.restricts(host)) {
+            if (slow_start_.admits(host, request.arrival.units)) return {&host};
+            continue;
+        }
+        const double total = cost(host, request);
+        if (!best.second || total < best.first) {
+            second = best;
+            best = {total, &host};
+        } else if (!second.second || total < second.first) {
+            second = {total, &host};
+        }
+    }
+    std::vector<Host*> candidates{best.second, second.second};
+    std::erase(candidates, nullptr);
+    return candidates;
+}
+
+Host* HostSelector::best_candidate(const Request& request) const {
+    Host* best = nullptr;
+    for (Host* const host : request.candidates) {
+        if (!has_capacity(*host) || !may_take(*host, request)) continue;
+        if (!best || cost(*host) < cost(*best)) best = host;
+    }
+    return best;
+}
+
+}  // namespace gateway::decision
--- a/src/decision/names.cpp
+++ b/src/decision/interface.cpp
@@ -1,4 +1,4 @@
-// The names of the interface's causes and outcomes, as they stand in logs and metrics.
+// The names of the enumerators of interface.h, as logs and metrics show them.
 #include "gateway/interface.h"
 
 namespace gateway::decision {
--- a/src/decision/peer_message.cpp
+++ b/src/decision/peer_message.cpp
@@ -36,7 +36,7 @@
     put(out, std::min<std::uint32_t>(given.wait_ms, 65535), 2);
     put_units(out, given.demand * sixteenths);
 }
-void put_message(std::string& out, const SlotRequest& request) {
+void put_message(std::string& out, const PermitRequest& request) {
     put(out, slot_request_mark, 1);
     put(out, request.nonce, 4);
     put(out, request.customer, 4);
@@ -45,7 +45,7 @@
     put(out, static_cast<std::uint32_t>(request.set_start), 2);
     put(out, static_cast<std::uint32_t>(std::clamp(request.wanted, 0, 255)), 1);
 }
-void put_message(std::string& out, const SlotGrant& grant) {
+void put_message(std::string& out, const PermitGrant& grant) {
     put(out, slot_grant_mark, 1);
     put(out, grant.nonce, 4);
     put(out, grant.customer, 4);
@@ -82,8 +82,8 @@
     given.demand = take_units(in);
     return given;
 }
-SlotRequest take_slot_request(std::string_view& in) {
-    SlotRequest request;
+PermitRequest take_slot_request(std::string_view& in) {
+    PermitRequest request;
     request.nonce = take(in, 4);
     request.customer = take(in, 4);
     request.plan = static_cast<int>(take(in, 1));
@@ -92,8 +92,8 @@
     request.wanted = static_cast<int>(take(in, 1));
     return request;
 }
-SlotGrant take_slot_grant(std::string_view& in) {
-    SlotGrant grant;
+PermitGrant take_slot_grant(std::string_view& in) {
+    PermitGrant grant;
     grant.nonce = take(in, 4);
     grant.customer = take(in, 4);
     grant.held = static_cast<int>(take(in, 1));
--- a/src/decision/peer_message.h
+++ b/src/decision/peer_message.h
@@ -29,20 +29,22 @@
 };
 // How many slots of a customer's open cap a gateway has use for now, those it holds among them; 0 releases
 // them.
-struct SlotRequest {
+struct PermitRequest {
     std::uint32_t nonce = 0;     // rises with each request of a gateway
     std::uint32_t customer = 0;  // hash of the customer's name
     int plan = 0;                // index into Settings::plans, below 256
     int set_size = 1, set_start = 0;
     int wanted = 0;
 };
-struct SlotGrant {
+struct PermitGrant {
     std::uint32_t nonce = 0;  // of the request that is granted
     std::uint32_t customer = 0;
     int held = 0;     // slots that the gateway holds now
     int in_line = 0;  // slots that gateways of the set wait for
 };
-using PeerMessage = std::variant<LeaseRequest, LeaseGrant, SlotRequest, SlotGrant>;
+using SlotRequest = PermitRequest;
+using SlotGrant = PermitGrant;
+using PeerMessage = std::variant<LeaseRequest, LeaseGrant, PermitRequest, PermitGrant>;
 
 inline constexpr std::size_t max_message_bytes = 256, most_together = 12;
 
--- /dev/null
+++ b/src/decision/retry_policy.cpp
@@ -0,0 +1,21 @@
+#include "retry_policy.h"
+
+#include "tuning.h"
+
+namespace gateway::decision {
+namespace {
+constexpr double retries_per_request = 0.15;
+constexpr double min_retries = 5;  // in the memory, whatever was earned
+}  // namespace
+
+void RetryPolicy::record_first_attempt() { first_attempts_.add(1, context_.now(), response_memory_s); }
+
+bool RetryPolicy::take() {
+    const Micros now = context_.now();
+    const double earned = first_attempts_.value(now, response_memory_s) * retries_per_request + min_retries;
+    if (retries_.value(now, response_memory_s) + 1 > earned) return false;
+    retries_.add(1, now, response_memory_s);
+    return true;
+}
+
+}  // namespace gateway::decision
--- /dev/null
+++ b/src/decision/snapshot.cpp
@@ -0,0 +1,66 @@
+#include "snapshot.h"
+
+#include <map>
+#include <stdexcept>
+#include <utility>
+
+#include "snapshot_codec.h"
+
+namespace gateway::decision {
+namespace {
+constexpr std::uint32_t snapshot_version = 3;
+
+// The same for both directions.
+void serialize_counters(Modules& modules, auto& codec) {
+    modules.context.serialize_nonce(codec);
+    modules.load.serialize_responses(codec);
+    modules.context.serialize_start(codec);
+    modules.load.serialize_limit(codec);
+    modules.retries.serialize(codec);
+    modules.hosts.serialize_bans(codec);
+}
+
+void read(Modules& modules, SnapshotReader& reader) {
+    std::uint32_t version = 0;
+    reader(version);
+    if (version != snapshot_version) return;
+    Micros saved_at{0};
+    reader(saved_at);
+    reader.move_times(modules.context.since(saved_at));
+    serialize_counters(modules, reader);
+    std::map<std::string, Host> hosts;
+    reader(hosts);
+    modules.hosts.restore(std::move(hosts));
+    modules.hosts.apply_bans();
+    modules.ledger.serialize(reader);
+    modules.customers.serialize(reader);
+}
+
+void settle_inherited(Customer& customer) {
+    QuotaLeases::settle_inherited(customer);
+    customer.permits.in_flight += std::exchange(customer.permits.admitted, 0);
+}
+}  // namespace
+
+std::string save_snapshot(Modules& modules) {
+    SnapshotWriter writer;
+    Micros now = modules.context.now();
+    writer(snapshot_version, now);
+    serialize_counters(modules, writer);
+    modules.hosts.serialize_hosts(writer);
+    modules.ledger.serialize(writer);
+    modules.customers.serialize(writer);
+    return writer.take();
+}
+
+void restore_snapshot(Modules& modules, const std::string& bytes) {
+    try {
+        SnapshotReader reader(bytes);
+        read(modules, reader);
+    } catch (const std::out_of_range&) {
+        // Cut short: what was read serves, the rest is as after a start.
+    }
+    for (auto& [name, customer] : modules.customers) settle_inherited(customer);
+}
+
+}  // namespace gateway::decision
