--- a/src/decision/customer_table.cpp
+++ b/src/decision/customer_table.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "peer_message.h"
+#include "name_hash.h"
 
 namespace gateway::decision {
 namespace {
--- a/src/decision/host_registry.cpp
+++ b/src/decision/host_registry.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "peer_message.h"
+#include "name_hash.h"
 
 namespace gateway::decision {
 namespace {
--- a/src/decision/peer_message.cpp
+++ b/src/decision/peer_message.cpp
@@ -5,134 +5,186 @@
 
 namespace gateway::decision {
 namespace {
-constexpr std::uint32_t format_mark = 0xA8, request_mark = 1, grant_mark = 2, slot_request_mark = 3,
-                        slot_grant_mark = 4;
-constexpr std::size_t check_bytes = 2, request_bytes = 20, grant_bytes = 13, slot_request_bytes = 15,
-                      slot_grant_bytes = 11;
-constexpr double sixteenths = 16;
-static_assert(1 + most_together * request_bytes + check_bytes <= max_message_bytes);
-
-void put(std::string& out, std::uint32_t value, int bytes) {
-    for (int i = 0; i < bytes; ++i) out.push_back(static_cast<char>((value >> (8 * i)) & 0xFF));
-}
-void put_units(std::string& out, double scaled) {
-    put(out, static_cast<std::uint32_t>(std::clamp(scaled, 0.0, 65535.0)), 2);
-}
-void put_message(std::string& out, const LeaseRequest& request) {
-    put(out, request_mark, 1);
-    put(out, request.nonce, 4);
-    put(out, request.customer, 4);
-    put(out, static_cast<std::uint32_t>(request.plan), 1);
-    put(out, static_cast<std::uint32_t>(request.set_size), 2);
-    put(out, static_cast<std::uint32_t>(request.set_start), 2);
-    for (const double units : {request.need, request.extra, request.hard})
-        put_units(out, std::ceil(units * sixteenths));
-}
-void put_message(std::string& out, const LeaseGrant& given) {
-    put(out, grant_mark, 1);
-    put(out, given.nonce, 4);
-    put_units(out, given.units * sixteenths);
-    put_units(out, given.hard * sixteenths);
-    put(out, std::min<std::uint32_t>(given.wait_ms, 65535), 2);
-    put_units(out, given.demand * sixteenths);
-}
-void put_message(std::string& out, const PermitRequest& request) {
-    put(out, slot_request_mark, 1);
-    put(out, request.nonce, 4);
-    put(out, request.customer, 4);
-    put(out, static_cast<std::uint32_t>(request.plan), 1);
-    put(out, static_cast<std::uint32_t>(request.set_size), 2);
-    put(out, static_cast<std::uint32_t>(request.set_start), 2);
-    put(out, static_cast<std::uint32_t>(std::clamp(request.wanted, 0, 255)), 1);
-}
-void put_message(std::string& out, const PermitGrant& grant) {
-    put(out, slot_grant_mark, 1);
-    put(out, grant.nonce, 4);
-    put(out, grant.customer, 4);
-    for (const int slots : {grant.held, grant.in_line})
-        put(out, static_cast<std::uint32_t>(std::clamp(slots, 0, 255)), 1);
-}
 
-std::uint32_t take(std::string_view& in, int bytes) {
-    std::uint32_t value = 0;
-    for (int i = 0; i < bytes; ++i) value |= std::uint32_t{static_cast<unsigned char>(in[i])} << (8 * i);
-    in.remove_prefix(bytes);
-    return value;
-}
-double take_units(std::string_view& in) { return take(in, 2) / sixteenths; }
-
-LeaseRequest take_request(std::string_view& in) {
-    LeaseRequest request;
-    request.nonce = take(in, 4);
-    request.customer = take(in, 4);
-    request.plan = static_cast<int>(take(in, 1));
-    request.set_size = static_cast<int>(take(in, 2));
-    request.set_start = static_cast<int>(take(in, 2));
-    request.need = take_units(in);
-    request.extra = take_units(in);
-    request.hard = take_units(in);
-    return request;
-}
-LeaseGrant take_lease_grant(std::string_view& in) {
-    LeaseGrant given;
-    given.nonce = take(in, 4);
-    given.units = take_units(in);
-    given.hard = take_units(in);
-    given.wait_ms = take(in, 2);
-    given.demand = take_units(in);
-    return given;
-}
-PermitRequest take_slot_request(std::string_view& in) {
-    PermitRequest request;
-    request.nonce = take(in, 4);
-    request.customer = take(in, 4);
-    request.plan = static_cast<int>(take(in, 1));
-    request.set_size = static_cast<int>(take(in, 2));
-    request.set_start = static_cast<int>(take(in, 2));
-    request.wanted = static_cast<int>(take(in, 1));
-    return request;
-}
-PermitGrant take_slot_grant(std::string_view& in) {
-    PermitGrant grant;
-    grant.nonce = take(in, 4);
-    grant.customer = take(in, 4);
-    grant.held = static_cast<int>(take(in, 1));
-    grant.in_line = static_cast<int>(take(in, 1));
-    return grant;
-}
-}  // namespace
+// A message is its format, records of one peer message each, and the lower bytes of the hash of all that. A
+// record is its type and its fields, little-endian.
+constexpr std::uint32_t message_format = 0xA8;
+constexpr std::size_t checksum_bytes = 2;
+constexpr std::uint32_t checksum_mask = 0xFFFF;
 
-std::uint32_t name_hash(std::string_view name) {
-    std::uint32_t h = 2166136261u;  // FNV-1a
-    for (unsigned char c : name) h = (h ^ c) * 16777619u;
-    return h;
-}
+enum class RecordType : std::uint8_t {
+    lease_request = 1,
+    lease_grant = 2,
+    permit_request = 3,
+    permit_grant = 4,
+};
+
+// Bytes of a record behind its type.
+constexpr std::size_t lease_request_bytes = 19;
+constexpr std::size_t lease_grant_bytes = 12;
+constexpr std::size_t permit_request_bytes = 14;
+constexpr std::size_t permit_grant_bytes = 10;
+constexpr std::size_t longest_record_bytes = 1 + lease_request_bytes;
+static_assert(1 + most_together * longest_record_bytes + checksum_bytes <= max_message_bytes);
+
+constexpr double unit_steps = 16;    // units travel in sixteenths
+constexpr double max_steps = 65535;  // that two bytes hold
+constexpr std::uint32_t max_wait_ms = 65535;
+constexpr int max_permits = 255;
+
+class RecordWriter {
+  public:
+    explicit RecordWriter(std::string& out) : out_(out) {}
+
+    void put(std::uint32_t value, int bytes) {
+        for (int i = 0; i < bytes; ++i) out_.push_back(static_cast<char>((value >> (8 * i)) & 0xFF));
+    }
+    void put_type(RecordType type) { put(static_cast<std::uint32_t>(type), 1); }
+    // A part of a unit counts as the next sixteenth.
+    void put_units_rounded_up(double units) { put_steps(std::ceil(units * unit_steps)); }
+    // A part of a sixteenth is left out.
+    void put_units_rounded_down(double units) { put_steps(units * unit_steps); }
+    void put_permits(int permits) { put(static_cast<std::uint32_t>(std::clamp(permits, 0, max_permits)), 1); }
+    // What requests for leases and permits begin with.
+    void put_customer(const auto& request) {
+        put(request.nonce, 4);
+        put(request.customer, 4);
+        put(static_cast<std::uint32_t>(request.plan), 1);
+        put(static_cast<std::uint32_t>(request.set_size), 2);
+        put(static_cast<std::uint32_t>(request.set_start), 2);
+    }
+
+    void write(const LeaseRequest& request) {
+        put_type(RecordType::lease_request);
+        put_customer(request);
+        put_units_rounded_up(request.need);
+        put_units_rounded_up(request.extra);
+        put_units_rounded_up(request.hard);
+    }
+    void write(const LeaseGrant& grant) {
+        put_type(RecordType::lease_grant);
+        put(grant.nonce, 4);
+        put_units_rounded_down(grant.units);
+        put_units_rounded_down(grant.hard);
+        put(std::min(grant.wait_ms, max_wait_ms), 2);
+        put_units_rounded_down(grant.demand);
+    }
+    void write(const PermitRequest& request) {
+        put_type(RecordType::permit_request);
+        put_customer(request);
+        put_permits(request.wanted);
+    }
+    void write(const PermitGrant& grant) {
+        put_type(RecordType::permit_grant);
+        put(grant.nonce, 4);
+        put(grant.customer, 4);
+        put_permits(grant.held);
+        put_permits(grant.in_line);
+    }
+
+  private:
+    void put_steps(double steps) { put(static_cast<std::uint32_t>(std::clamp(steps, 0.0, max_steps)), 2); }
+
+    std::string& out_;
+};
+
+// Reads from bytes whose length the caller has checked.
+class RecordReader {
+  public:
+    explicit RecordReader(std::string_view bytes) : rest_(bytes) {}
+
+    [[nodiscard]] std::size_t size() const { return rest_.size(); }
+    [[nodiscard]] bool empty() const { return rest_.empty(); }
+    std::uint32_t take(int bytes) {
+        std::uint32_t value = 0;
+        for (int i = 0; i < bytes; ++i) {
+            const auto byte = static_cast<unsigned char>(rest_[static_cast<std::size_t>(i)]);
+            value |= std::uint32_t{byte} << (8 * i);
+        }
+        rest_.remove_prefix(static_cast<std::size_t>(bytes));
+        return value;
+    }
+    int take_int(int bytes) { return static_cast<int>(take(bytes)); }
+    double take_units() { return take(2) / unit_steps; }
+    void take_customer(auto& request) {
+        request.nonce = take(4);
+        request.customer = take(4);
+        request.plan = take_int(1);
+        request.set_size = take_int(2);
+        request.set_start = take_int(2);
+    }
+
+    LeaseRequest take_lease_request() {
+        LeaseRequest request;
+        take_customer(request);
+        request.need = take_units();
+        request.extra = take_units();
+        request.hard = take_units();
+        return request;
+    }
+    LeaseGrant take_lease_grant() {
+        LeaseGrant grant;
+        grant.nonce = take(4);
+        grant.units = take_units();
+        grant.hard = take_units();
+        grant.wait_ms = take(2);
+        grant.demand = take_units();
+        return grant;
+    }
+    PermitRequest take_permit_request() {
+        PermitRequest request;
+        take_customer(request);
+        request.wanted = take_int(1);
+        return request;
+    }
+    PermitGrant take_permit_grant() {
+        PermitGrant grant;
+        grant.nonce = take(4);
+        grant.customer = take(4);
+        grant.held = take_int(1);
+        grant.in_line = take_int(1);
+        return grant;
+    }
+    // Nothing for a record that is cut short or of an unknown type.
+    std::optional<PeerMessage> take_record() {
+        const auto type = static_cast<RecordType>(take(1));
+        if (type == RecordType::lease_request && size() >= lease_request_bytes) return take_lease_request();
+        if (type == RecordType::lease_grant && size() >= lease_grant_bytes) return take_lease_grant();
+        if (type == RecordType::permit_request && size() >= permit_request_bytes)
+            return take_permit_request();
+        if (type == RecordType::permit_grant && size() >= permit_grant_bytes) return take_permit_grant();
+        return std::nullopt;
+    }
+
+  private:
+    std::string_view rest_;
+};
+
+}  // namespace
 
 std::string pack(const std::vector<PeerMessage>& messages) {
-    std::string out;
-    put(out, format_mark, 1);
-    for (std::size_t i = 0; i < std::min(messages.size(), most_together); ++i)
-        std::visit([&](const auto& m) { put_message(out, m); }, messages[i]);
-    put(out, name_hash(out), check_bytes);
-    return out;
+    std::string bytes;
+    RecordWriter writer(bytes);
+    writer.put(message_format, 1);
+    const std::size_t count = std::min(messages.size(), most_together);
+    for (std::size_t i = 0; i < count; ++i)
+        std::visit([&](const auto& message) { writer.write(message); }, messages[i]);
+    writer.put(name_hash(bytes), checksum_bytes);
+    return bytes;
 }
 
-std::optional<std::vector<PeerMessage>> unpack(std::string_view in) {
-    if (in.size() < 1 + check_bytes || in.size() > max_message_bytes) return std::nullopt;
-    std::string_view tail = in.substr(in.size() - check_bytes);
-    in.remove_suffix(check_bytes);
-    if (take(tail, check_bytes) != (name_hash(in) & 0xFFFF) || take(in, 1) != format_mark)
-        return std::nullopt;
+std::optional<std::vector<PeerMessage>> unpack(std::string_view bytes) {
+    if (bytes.size() < 1 + checksum_bytes || bytes.size() > max_message_bytes) return std::nullopt;
+    const std::string_view body = bytes.substr(0, bytes.size() - checksum_bytes);
+    RecordReader checksum(bytes.substr(body.size()));
+    if (checksum.take(checksum_bytes) != (name_hash(body) & checksum_mask)) return std::nullopt;
+    RecordReader reader(body);
+    if (reader.take(1) != message_format) return std::nullopt;
     std::vector<PeerMessage> messages;
-    while (!in.empty()) {
-        const std::uint32_t mark = take(in, 1);
-        if (mark == request_mark && in.size() >= request_bytes - 1) messages.push_back(take_request(in));
-        else if (mark == grant_mark && in.size() >= grant_bytes - 1) messages.push_back(take_lease_grant(in));
-        else if (mark == slot_request_mark && in.size() >= slot_request_bytes - 1)
-            messages.push_back(take_slot_request(in));
-        else if (mark == slot_grant_mark && in.size() >= slot_grant_bytes - 1)
-            messages.push_back(take_slot_grant(in));
-        else return std::nullopt;
+    while (!reader.empty()) {
+        const std::optional<PeerMessage> message = reader.take_record();
+        if (!message) return std::nullopt;
+        messages.push_back(*message);
     }
     return messages;
 }
--- a/src/decision/peer_message.h
+++ b/src/decision/peer_message.h
@@ -9,6 +9,8 @@
 #include <variant>
 #include <vector>
 
+#include "name_hash.h"
+
 namespace gateway::decision {
 
 // A gateway asks a customer's home for a lease on units of the quota, and of the ceiling's common share.
@@ -48,7 +50,6 @@
 
 inline constexpr std::size_t max_message_bytes = 256, most_together = 12;
 
-std::uint32_t name_hash(std::string_view name);
 // Units travel in sixteenths, 4095 at most; requests are rounded up, grants down.
 // At most `most_together` go into one message; more are left out.
 std::string pack(const std::vector<PeerMessage>& messages);
