--- a/include/gateway/request_rules.h
+++ b/include/gateway/request_rules.h
@@ -36,8 +36,8 @@
     }
     // No effect for an attempt that has ended or never begun.
     void end_attempt(int number, Outcome outcome);
-    const std::vector<Attempt>& attempts() const { return attempts_; }
-    int count() const { return static_cast<int>(attempts_.size()); }
+    [[nodiscard]] const std::vector<Attempt>& attempts() const { return attempts_; }
+    [[nodiscard]] int count() const { return static_cast<int>(attempts_.size()); }
     [[nodiscard]] int in_flight() const;
     // Whether any attempt may have been executed; one in flight may have been.
     [[nodiscard]] bool may_have_run() const;
@@ -72,11 +72,12 @@
     [[nodiscard]] SendVerdict check_send(const RequestClass& request_class, const RequestHistory& history,
                                          const HostPlace& place, Micros now) const;
     // Whether a rejection may promise that executing the request again is harmless.
-    [[nodiscard]] bool may_refuse(const RequestClass& request_class, const RequestHistory& history) const;
+    [[nodiscard]] static bool may_reject(const RequestClass& request_class, const RequestHistory& history);
 
   private:
-    SendVerdict check_retry(const RequestClass& request_class, const RequestHistory::Attempt& earlier,
-                            const HostPlace& place, Micros now) const;
+    [[nodiscard]] SendVerdict check_retry(const RequestClass& request_class,
+                                          const RequestHistory::Attempt& earlier, const HostPlace& place,
+                                          Micros now) const;
 
     const Settings& settings_;
 };
--- a/src/decision/host_registry.cpp
+++ b/src/decision/host_registry.cpp
@@ -64,7 +64,7 @@
     host.slow_start.considered_at = context_.now();
     host.outlier.last_response_at = context_.now();
     host.place = name_hash(name + ' ' + std::to_string(context_.settings().rank));
-    host.banned = banned_.count(name) > 0;
+    host.banned = banned_.contains(name);
 }
 
 bool HostRegistry::set_banned(const std::string& name, bool banned) {
@@ -143,7 +143,7 @@
 
 void HostRegistry::apply_bans() {
     for (auto& [name, host] : hosts_) {
-        host.banned = banned_.count(name) > 0;
+        host.banned = banned_.contains(name);
         if (host.banned) slow_start_.remove(host);
     }
 }
--- a/src/decision/load_estimator.cpp
+++ b/src/decision/load_estimator.cpp
@@ -139,7 +139,7 @@
 
     if (!success && !overload) return;
     const bool slow = turned_down || elapsed_s > slow_share_of_objective * objective_s;
-    slow_response_ratio_ += slow_weight * (slow - slow_response_ratio_);
+    slow_response_ratio_ += slow_weight * ((slow ? 1 : 0) - slow_response_ratio_);
     overloaded_ = slow_response_ratio_ > (overloaded_ ? recovered_below : overloaded_above);
 }
 
--- a/src/decision/quota_leases.cpp
+++ b/src/decision/quota_leases.cpp
@@ -23,7 +23,7 @@
 }
 
 // The even share of that part of the ceiling that the lease holder does not own.
-double QuotaLeases::even_ceiling(const Customer& customer, double of_ceiling) const {
+double QuotaLeases::even_ceiling(const Customer& customer, double of_ceiling) {
     return of_ceiling * (1 - holder_ceiling_share) / customer.set_size;
 }
 
--- a/src/decision/quota_leases.h
+++ b/src/decision/quota_leases.h
@@ -102,7 +102,7 @@
     using PendingLeases = std::unordered_map<std::uint32_t, PendingLease>;
 
     [[nodiscard]] double deficit(const Customer& customer, double units) const;
-    [[nodiscard]] double even_ceiling(const Customer& customer, double of_ceiling) const;
+    [[nodiscard]] static double even_ceiling(const Customer& customer, double of_ceiling);
     [[nodiscard]] double upcoming_demand(const Customer& customer) const;
     [[nodiscard]] int holder(const Customer& customer, int place) const;
     std::uint32_t send_request(Customer& customer, int to, LeaseRequest request, bool prefetch);
--- a/src/decision/request_admission.cpp
+++ b/src/decision/request_admission.cpp
@@ -25,7 +25,7 @@
     const bool known_class =
         arrival.request_class >= 0 && arrival.request_class < static_cast<int>(settings.classes.size());
     const bool known_plan = arrival.plan < static_cast<int>(settings.plans.size());
-    if (!known_class || !known_plan || requests_.count(arrival.id) > 0) return;
+    if (!known_class || !known_plan || requests_.contains(arrival.id)) return;
     if (arrival.time_left <= min_ticks_left * settings.tick)
         return context_.emit(RejectRequest{arrival.id, 0us, RejectionReason::expired_on_arrival});
     if (context_.handed_over())
@@ -112,7 +112,7 @@
 // ---- leases ---------------------------------------------------------------------------------------------
 
 void RequestFlow::drop_completed(std::vector<RequestId>& ids) const {
-    std::erase_if(ids, [this](RequestId id) { return requests_.count(id) == 0; });
+    std::erase_if(ids, [this](RequestId id) { return !requests_.contains(id); });
 }
 
 void RequestFlow::acquire_lease(Customer& customer) {
@@ -216,8 +216,8 @@
     admit_waiting_for_permit(*customer);
 }
 
-void RequestFlow::on_permit_renewal(std::uint32_t hash) {
-    Customer* const customer = modules_.customers.find(hash);
+void RequestFlow::on_permit_renewal(std::uint32_t customer_hash) {
+    Customer* const customer = modules_.customers.find(customer_hash);
     if (customer == nullptr || !modules_.permits.renewal_due(*customer)) return;
     if (modules_.permits.borrows(*customer)) return request_permits(*customer, true);
     ConcurrencyPermits::reset(*customer);  // the holder is silent
--- a/src/decision/request_dispatch.cpp
+++ b/src/decision/request_dispatch.cpp
@@ -260,7 +260,7 @@
 }
 
 void RequestFlow::give_up(Request& request, RejectionReason reason) {
-    if (modules_.rules.may_refuse(class_of(request), request.history)) {
+    if (RequestRules::may_reject(class_of(request), request.history)) {
         const Micros wait = request.forwarded ? 0us : to_micros(modules_.load.response_s());
         return reject(request, wait, reason);
     }
--- a/src/decision/request_flow.h
+++ b/src/decision/request_flow.h
@@ -31,7 +31,7 @@
     void on_lease_timeout(std::uint32_t nonce);
     void on_permit_request(const PermitRequest& request, int from);
     void on_permit_grant(const PermitGrant& grant, int from);
-    void on_permit_renewal(std::uint32_t customer);
+    void on_permit_renewal(std::uint32_t customer_hash);
 
     // ---- changes of the hosts ----
     // Sends queued requests to hosts that have capacity.
--- a/src/decision/request_rules.cpp
+++ b/src/decision/request_rules.cpp
@@ -3,6 +3,20 @@
 #include <algorithm>
 
 namespace gateway::decision {
+namespace {
+// Whether a host shares its memory of idempotency keys with the earlier attempt's host.
+bool in_scope(DeduplicationScope scope, const HostPlace& place, const RequestHistory::Attempt& earlier) {
+    switch (scope) {
+        case DeduplicationScope::all:
+            return true;
+        case DeduplicationScope::zone:
+            return place.zone == earlier.zone;
+        case DeduplicationScope::cell:
+            return place.cell == earlier.cell;
+    }
+    return false;
+}
+}  // namespace
 
 bool proves_not_executed(Outcome outcome) {
     return outcome == Outcome::rejected || outcome == Outcome::connect_failed || outcome == Outcome::not_sent;
@@ -10,17 +24,18 @@
 
 void RequestHistory::end_attempt(int number, Outcome outcome) {
     const auto ended = std::find_if(attempts_.begin(), attempts_.end(),
-                                    [number](const Attempt& a) { return a.number == number; });
+                                    [number](const Attempt& attempt) { return attempt.number == number; });
     if (ended == attempts_.end() || !ended->in_flight) return;
     ended->in_flight = false;
     ended->not_executed = proves_not_executed(outcome);
 }
 int RequestHistory::in_flight() const {
-    return static_cast<int>(
-        std::count_if(attempts_.begin(), attempts_.end(), [](const Attempt& a) { return a.in_flight; }));
+    return static_cast<int>(std::count_if(attempts_.begin(), attempts_.end(),
+                                          [](const Attempt& attempt) { return attempt.in_flight; }));
 }
 bool RequestHistory::may_have_run() const {
-    return std::any_of(attempts_.begin(), attempts_.end(), [](const Attempt& a) { return !a.not_executed; });
+    return std::any_of(attempts_.begin(), attempts_.end(),
+                       [](const Attempt& attempt) { return !attempt.not_executed; });
 }
 
 const char* to_string(SendVerdict verdict) {
@@ -61,22 +76,20 @@
     return SendVerdict::allowed;
 }
 
-// A connection that comes up late brings the repeat later by the connect time: hosts have to know the earlier
-// attempt then still.
+// A connection that comes up late delays the retry by the connect timeout: hosts have to remember the earlier
+// attempt's key still then.
 SendVerdict RequestRules::check_retry(const RequestClass& request_class,
                                       const RequestHistory::Attempt& earlier, const HostPlace& place,
                                       Micros now) const {
     if (request_class.idempotency == Idempotency::not_idempotent) return SendVerdict::may_have_run;
     if (now + settings_.connect_timeout - earlier.sent >= request_class.deduplication_window)
         return SendVerdict::outside_deduplication_window;
-    const bool in_group =
-        request_class.deduplication_scope == DeduplicationScope::all ||
-        (request_class.deduplication_scope == DeduplicationScope::zone ? place.zone == earlier.zone
-                                                                       : place.cell == earlier.cell);
-    return in_group ? SendVerdict::allowed : SendVerdict::outside_deduplication_scope;
+    return in_scope(request_class.deduplication_scope, place, earlier)
+               ? SendVerdict::allowed
+               : SendVerdict::outside_deduplication_scope;
 }
 
-bool RequestRules::may_refuse(const RequestClass& request_class, const RequestHistory& history) const {
+bool RequestRules::may_reject(const RequestClass& request_class, const RequestHistory& history) {
     if (request_class.idempotency == Idempotency::idempotent || !history.may_have_run()) return true;
     return request_class.idempotency == Idempotency::with_key &&
            request_class.deduplication_scope == DeduplicationScope::all && history.in_flight() == 0;
--- a/src/decision/snapshot_codec.h
+++ b/src/decision/snapshot_codec.h
@@ -1,5 +1,7 @@
-// Bytes of the state that one version of the module leaves to the next: plain values, one after the other.
-// What holds several tells which in `serialize`, the same for both directions.
+// The byte format of snapshots: plain values, one after the other, in the machine's byte order.
+//
+// A type with several fields has a member template `serialize(codec)`, which passes its fields to the codec
+// in order. Writer and reader are both such codecs, so that the order stands in one place.
 #pragma once
 
 #include <algorithm>
@@ -15,6 +17,7 @@
 
 namespace gateway::decision {
 
+// A set or map.
 template <class T>
 concept KeyedTable = requires {
     typename T::key_type;
@@ -30,9 +33,10 @@
     void operator()(Values&... values) {
         (put(values), ...);
     }
-    // A time that is no time of this process's clock.
+    // A time that is not of this process's clock, and that the reader must not move.
     void stamp(std::chrono::microseconds& time) { put(time); }
-    std::string take() { return std::move(bytes_); }
+    // The bytes written; the writer is empty afterwards.
+    [[nodiscard]] std::string take() { return std::move(bytes_); }
 
   private:
     template <class T>
@@ -52,39 +56,44 @@
         }
     }
     void put_size(std::size_t size) {
-        const auto told = static_cast<std::uint32_t>(size);
-        put(told);
+        const auto count = static_cast<std::uint32_t>(size);
+        put(count);
     }
-    // By key: the order of a hash table must not show.
+    // By key, because the order of a hash table must not show.
     template <class Table>
     void put_table(Table& table) {
-        const auto key = [](const auto& row) -> const typename Table::key_type& {
+        const auto key_of = [](const auto& row) -> const typename Table::key_type& {
             if constexpr (KeyedMap<Table>) return row.first;
             else return row;
         };
         std::vector<decltype(&*table.begin())> rows;
         for (auto& row : table) rows.push_back(&row);
-        std::sort(rows.begin(), rows.end(), [&](auto* a, auto* b) { return key(*a) < key(*b); });
+        std::sort(rows.begin(), rows.end(),
+                  [&](auto* left, auto* right) { return key_of(*left) < key_of(*right); });
         put_size(rows.size());
         for (auto* row : rows) {
-            put(key(*row));
+            put(key_of(*row));
             if constexpr (KeyedMap<Table>) put(row->second);
         }
     }
+
     std::string bytes_;
 };
 
-// Throws std::out_of_range where the bytes end too soon.
+// Every read throws std::out_of_range where the bytes end too soon.
 class SnapshotReader {
   public:
+    // The bytes must outlive the reader.
     explicit SnapshotReader(std::string_view bytes) : rest_(bytes) {}
-    // From now on each time but 0, which stands for none, is moved by so much: the writer's clock had another
+
+    // From now on adds the offset to each time but 0, which stands for none: the writer's clock had another
     // origin.
-    void move_times(std::chrono::microseconds by) { moved_by_ = by; }
+    void move_times(std::chrono::microseconds offset) { time_offset_ = offset; }
+    // A time that is not moved.
     void stamp(std::chrono::microseconds& time) {
-        const auto moved_by = std::exchange(moved_by_, std::chrono::microseconds{0});
+        const auto offset = std::exchange(time_offset_, std::chrono::microseconds{0});
         get(time);
-        moved_by_ = moved_by;
+        time_offset_ = offset;
     }
     template <class... Values>
     void operator()(Values&... values) {
@@ -93,7 +102,7 @@
 
   private:
     std::string_view cut(std::size_t size) {
-        if (size > rest_.size()) throw std::out_of_range("state: cut short");
+        if (size > rest_.size()) throw std::out_of_range("snapshot: cut short");
         const std::string_view part = rest_.substr(0, size);
         rest_.remove_prefix(size);
         return part;
@@ -110,19 +119,22 @@
             value = cut(next<std::uint32_t>());
         } else if constexpr (std::is_same_v<T, std::chrono::microseconds>) {
             value = T(next<std::int64_t>());
-            if (value.count() != 0) value += moved_by_;
+            if (value.count() != 0) value += time_offset_;
         } else if constexpr (KeyedMap<T>) {
-            for (auto n = next<std::uint32_t>(); n > 0; --n) get(value[next<typename T::key_type>()]);
+            for (auto rows = next<std::uint32_t>(); rows > 0; --rows)
+                get(value[next<typename T::key_type>()]);
         } else if constexpr (KeyedTable<T>) {
-            for (auto n = next<std::uint32_t>(); n > 0; --n) value.insert(next<typename T::key_type>());
+            for (auto rows = next<std::uint32_t>(); rows > 0; --rows)
+                value.insert(next<typename T::key_type>());
         } else if constexpr (std::is_arithmetic_v<T>) {
             std::memcpy(&value, cut(sizeof value).data(), sizeof value);
         } else {
             value.serialize(*this);
         }
     }
+
     std::string_view rest_;
-    std::chrono::microseconds moved_by_{0};
+    std::chrono::microseconds time_offset_{0};
 };
 
 }  // namespace gateway::decision
