--- a/src/json/fields.h
+++ b/src/json/fields.h
@@ -1,4 +1,4 @@
-// Typed reading of JSON values; what is wrong is named together with what was expected.
+// Typed reading of JSON values. Every error names the value and what was expected of it.
 #pragma once
 
 #include <simdjson.h>
@@ -13,79 +13,114 @@
 #include "gateway/interface.h"
 
 namespace gateway::json {
+
 using simdjson::dom::array;
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-// Raised where a value is read; callers add the place (a line's number, a file's name).
-struct BadValue : std::runtime_error {
-    using std::runtime_error::runtime_error;
+// A value that is missing, of another type than expected or out of its range. It knows the value's name only;
+// callers add the place (a line number, a file name).
+class BadValue : public std::runtime_error {
+  public:
+    BadValue(std::string_view name, std::string_view expected)
+        : std::runtime_error(std::string(name) + ": expected " + std::string(expected)),
+          name_(name),
+          expected_(expected) {}
+
+    // The JSON key or the name of the value in its message.
+    [[nodiscard]] const std::string& name() const noexcept { return name_; }
+    [[nodiscard]] const std::string& expected() const noexcept { return expected_; }
+
+  private:
+    std::string name_;
+    std::string expected_;
 };
 
-[[noreturn]] inline void bad(std::string_view what, std::string_view expected) {
-    throw BadValue(std::string(what) + ": expected " + std::string(expected));
+// Throws BadValue.
+[[noreturn]] inline void bad(std::string_view name, std::string_view expected) {
+    throw BadValue(name, expected);
 }
 
-inline double as_number(element e, std::string_view what) {
-    double value = 0;
-    if (e.get(value) != simdjson::SUCCESS) bad(what, "a number");
-    return value;
+// ---- conversion of one value; each function throws BadValue where the type does not fit ------------------
+
+[[nodiscard]] inline double as_number(element value, std::string_view name) {
+    double number = 0;
+    if (value.get(number) != simdjson::SUCCESS) bad(name, "a number");
+    return number;
 }
-inline std::int64_t as_integer(element e, std::string_view what) {
-    std::int64_t value = 0;
-    if (e.get(value) == simdjson::SUCCESS) return value;
-    const double wide = as_number(e, what);
-    if (wide != std::floor(wide) || std::abs(wide) > 4e18) bad(what, "an integer");
-    return static_cast<std::int64_t>(wide);
+
+// Also takes a number written with a fraction or an exponent (`1e6`) as long as its value is integral.
+[[nodiscard]] inline std::int64_t as_integer(element value, std::string_view name) {
+    // Leaves room below the largest int64_t, which a double does not represent exactly.
+    constexpr double max_magnitude = 4e18;
+    std::int64_t integer = 0;
+    if (value.get(integer) == simdjson::SUCCESS) return integer;
+    const double number = as_number(value, name);
+    if (number != std::floor(number) || std::abs(number) > max_magnitude) bad(name, "an integer");
+    return static_cast<std::int64_t>(number);
 }
-inline std::uint64_t as_unsigned(element e, std::string_view what) {
-    std::uint64_t value = 0;
-    if (e.get(value) != simdjson::SUCCESS) bad(what, "a whole number not below 0");
-    return value;
+
+[[nodiscard]] inline std::uint64_t as_unsigned(element value, std::string_view name) {
+    std::uint64_t integer = 0;
+    if (value.get(integer) != simdjson::SUCCESS) bad(name, "a whole number not below 0");
+    return integer;
 }
-inline std::string_view as_text(element e, std::string_view what) {
-    std::string_view value;
-    if (e.get(value) != simdjson::SUCCESS) bad(what, "text");
-    return value;
+
+// The view is valid until the parser that made the element parses again.
+[[nodiscard]] inline std::string_view as_text(element value, std::string_view name) {
+    std::string_view text;
+    if (value.get(text) != simdjson::SUCCESS) bad(name, "text");
+    return text;
 }
-inline bool as_bool(element e, std::string_view what) {
-    bool value = false;
-    if (e.get(value) != simdjson::SUCCESS) bad(what, "true or false");
-    return value;
+
+[[nodiscard]] inline bool as_bool(element value, std::string_view name) {
+    bool boolean = false;
+    if (value.get(boolean) != simdjson::SUCCESS) bad(name, "true or false");
+    return boolean;
 }
-inline array as_array(element e, std::string_view what) {
-    array value;
-    if (e.get(value) != simdjson::SUCCESS) bad(what, "an array");
-    return value;
+
+[[nodiscard]] inline array as_array(element value, std::string_view name) {
+    array values;
+    if (value.get(values) != simdjson::SUCCESS) bad(name, "an array");
+    return values;
 }
-inline object as_object(element e, std::string_view what) {
-    object value;
-    if (e.get(value) != simdjson::SUCCESS) bad(what, "an object");
-    return value;
+
+[[nodiscard]] inline object as_object(element value, std::string_view name) {
+    object members;
+    if (value.get(members) != simdjson::SUCCESS) bad(name, "an object");
+    return members;
 }
 
-// Objects: required keys name themselves when they are missing; absent optional ones keep the default.
-inline element required(object o, std::string_view key) {
-    element e;
-    if (o[key].get(e) != simdjson::SUCCESS) bad("setting '" + std::string(key) + "' is missing", "a value");
-    return e;
+// ---- members of an object --------------------------------------------------------------------------------
+
+// Throws BadValue where the key is missing. The value may be null.
+[[nodiscard]] inline element required(object members, std::string_view key) {
+    element value;
+    if (members[key].get(value) != simdjson::SUCCESS)
+        bad("setting '" + std::string(key) + "' is missing", "a value");
+    return value;
 }
-inline std::optional<element> optional_key(object o, std::string_view key) {
-    element e;
-    if (o[key].get(e) != simdjson::SUCCESS || e.is_null()) return std::nullopt;
-    return e;
+
+// Nothing where the key is missing or its value is null.
+[[nodiscard]] inline std::optional<element> optional_key(object members, std::string_view key) {
+    element value;
+    if (members[key].get(value) != simdjson::SUCCESS || value.is_null()) return std::nullopt;
+    return value;
 }
-inline void read(object o, std::string_view key, double& into) {
-    if (auto e = optional_key(o, key)) into = as_number(*e, key);
+
+// Read an optional key into `target`, which keeps its value where the key is missing or null. They throw
+// BadValue where the type does not fit.
+inline void read(object members, std::string_view key, double& target) {
+    if (const auto value = optional_key(members, key)) target = as_number(*value, key);
 }
-inline void read(object o, std::string_view key, int& into) {
-    if (auto e = optional_key(o, key)) into = static_cast<int>(as_integer(*e, key));
+inline void read(object members, std::string_view key, int& target) {
+    if (const auto value = optional_key(members, key)) target = static_cast<int>(as_integer(*value, key));
 }
-inline void read(object o, std::string_view key, bool& into) {
-    if (auto e = optional_key(o, key)) into = as_bool(*e, key);
+inline void read(object members, std::string_view key, bool& target) {
+    if (const auto value = optional_key(members, key)) target = as_bool(*value, key);
 }
-inline void read(object o, std::string_view key, decision::Micros& into) {
-    if (auto e = optional_key(o, key)) into = decision::Micros(as_integer(*e, key));
+inline void read(object members, std::string_view key, decision::Micros& target) {
+    if (const auto value = optional_key(members, key)) target = decision::Micros(as_integer(*value, key));
 }
 
 }  // namespace gateway::json
--- a/src/json/settings.h
+++ b/src/json/settings.h
@@ -1,12 +1,12 @@
-// The settings object that the simulator and a real gateway's configuration share, read into the module's
-// type.
+// Reads the settings object, which the simulator's Attach message and a gateway's configuration file share,
+// into the decision module's Settings.
 #pragma once
 
 #include "fields.h"
 
 namespace gateway::json {
 
-// Throws BadValue. Unknown keys are ignored, absent optional ones keep their default.
-decision::Settings read_settings(object o);
+// Throws BadValue. Unknown keys are ignored; absent optional ones keep the default of decision::Settings.
+[[nodiscard]] decision::Settings read_settings(object members);
 
 }  // namespace gateway::json
