--- a/src/simulator_adapter/base64.cpp
+++ b/src/simulator_adapter/base64.cpp
@@ -5,44 +5,60 @@
 
 namespace gateway::simulator {
 namespace {
+
 constexpr std::string_view alphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+constexpr char padding = '=';
+// A group of three bytes is encoded as four characters of six bits each.
+constexpr std::size_t group_bytes = 3;
+constexpr std::size_t group_characters = 4;
+constexpr std::size_t max_padding = 2;
 
-constexpr std::array<std::int8_t, 256> reverse = [] {
-    std::array<std::int8_t, 256> table{};
-    table.fill(-1);
+// The six bits of each character; -1 for characters outside the alphabet.
+constexpr std::array<std::int8_t, 256> character_values = [] {
+    std::array<std::int8_t, 256> values{};
+    values.fill(-1);
     for (std::size_t i = 0; i < alphabet.size(); ++i)
-        table[static_cast<unsigned char>(alphabet[i])] = static_cast<std::int8_t>(i);
-    return table;
+        values[static_cast<unsigned char>(alphabet[i])] = static_cast<std::int8_t>(i);
+    return values;
 }();
+
+std::size_t count_padding(std::string_view text) {
+    std::size_t count = 0;
+    while (count < max_padding && count < text.size() && text[text.size() - 1 - count] == padding) ++count;
+    return count;
+}
+
 }  // namespace
 
 void append_base64(std::string& out, std::string_view bytes) {
-    for (std::size_t i = 0; i < bytes.size(); i += 3) {
+    for (std::size_t begin = 0; begin < bytes.size(); begin += group_bytes) {
         std::uint32_t group = 0;
-        for (std::size_t k = 0; k < 3; ++k)
-            group = group << 8 | (i + k < bytes.size() ? static_cast<unsigned char>(bytes[i + k]) : 0u);
-        for (std::size_t k = 0; k < 4; ++k)
-            out.push_back(i + k <= bytes.size() ? alphabet[group >> (18 - 6 * k) & 63] : '=');
+        for (std::size_t i = 0; i < group_bytes; ++i) {
+            const std::size_t at = begin + i;
+            group = group << 8 | (at < bytes.size() ? static_cast<unsigned char>(bytes[at]) : 0u);
+        }
+        for (std::size_t i = 0; i < group_characters; ++i)
+            out.push_back(begin + i <= bytes.size() ? alphabet[group >> (18 - 6 * i) & 63] : padding);
     }
 }
 
-std::optional<std::string> from_base64(std::string_view text) {
-    if (text.size() % 4 != 0) return std::nullopt;
-    std::size_t pad = 0;
-    while (pad < 2 && pad < text.size() && text[text.size() - 1 - pad] == '=') ++pad;
-    std::string out;
-    for (std::size_t i = 0; i < text.size(); i += 4) {
+std::optional<std::string> decode_base64(std::string_view text) {
+    if (text.size() % group_characters != 0) return std::nullopt;
+    const std::size_t padding_count = count_padding(text);
+    std::string bytes;
+    for (std::size_t begin = 0; begin < text.size(); begin += group_characters) {
         std::uint32_t group = 0;
-        for (std::size_t k = 0; k < 4; ++k) {
-            const bool padding = i + k >= text.size() - pad;
-            const int value = padding ? 0 : reverse[static_cast<unsigned char>(text[i + k])];
+        for (std::size_t at = begin; at < begin + group_characters; ++at) {
+            const bool is_padding = at >= text.size() - padding_count;
+            const int value = is_padding ? 0 : character_values[static_cast<unsigned char>(text[at])];
             if (value < 0) return std::nullopt;
             group = group << 6 | static_cast<std::uint32_t>(value);
         }
-        for (int shift = 16; shift >= 0; shift -= 8) out.push_back(static_cast<char>(group >> shift & 0xFF));
+        for (int shift = 16; shift >= 0; shift -= 8)
+            bytes.push_back(static_cast<char>(group >> shift & 0xFF));
     }
-    out.resize(out.size() - pad);
-    return out;
+    bytes.resize(bytes.size() - padding_count);
+    return bytes;
 }
 
 }  // namespace gateway::simulator
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,3 +1,5 @@
+// simulator_adapter: runs the decision module under the simulator. Reads JSON lines from standard input and
+// answers each batch on standard output. Exit status: 0 at the end of the input, 2 after malformed input.
 #include <cstdio>
 #include <exception>
 #include <iostream>
@@ -5,21 +7,36 @@
 
 #include "simulator_wire.h"
 
+namespace {
+
+constexpr int exit_malformed_input = 2;
+
+void write_reply(const std::string& reply) {
+    std::fwrite(reply.data(), 1, reply.size(), stdout);
+    std::fflush(stdout);
+}
+
+void serve_standard_input() {
+    gateway::simulator::SimulatorWire wire;
+    std::string line;
+    std::string reply;
+    while (std::getline(std::cin, line)) {
+        if (!wire.take_line(line, reply)) continue;
+        write_reply(reply);
+        reply.clear();
+    }
+}
+
+}  // namespace
+
 int main() {
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
     try {
-        gateway::simulator::SimulatorWire wire;
-        std::string line, out;
-        while (std::getline(std::cin, line)) {
-            if (!wire.take_line(line, out)) continue;
-            std::fwrite(out.data(), 1, out.size(), stdout);
-            std::fflush(stdout);
-            out.clear();
-        }
+        serve_standard_input();
     } catch (const std::exception& error) {
         std::cerr << "simulator_adapter: " << error.what() << '\n';
-        return 2;
+        return exit_malformed_input;
     }
     return 0;
 }
--- a/tests/simulator_adapter/simulator_wire_test.cpp
+++ b/tests/simulator_adapter/simulator_wire_test.cpp
@@ -1,3 +1,4 @@
+// SimulatorWire and base64, by lines as the simulator sends them.
 #include "simulator_wire.h"
 
 #include <gtest/gtest.h>
@@ -12,12 +13,13 @@
     R"("promiseUs":800000,"value":1}],"ceilings":{"maxAttempts":2},"guarantees":{"startCapacity":0.2},"tickUs":4000,)"
     R"("tiersOfService":[{"name":"basic","rate":1,"mostAtOnce":2}],"unknownKey":[1,{"a":2}]})";
 
-// Feeds lines, returns everything replied.
+// Feeds lines to the wire; gives every reply, one behind the other.
 std::string feed(SimulatorWire& wire, std::initializer_list<std::string> lines) {
     std::string out;
     for (std::string line : lines) wire.take_line(line, out);
     return out;
 }
+// The message of the first line's error; empty where every line was taken.
 std::string error_of(std::initializer_list<std::string> lines) {
     SimulatorWire wire;
     try {
@@ -74,14 +76,14 @@
 
 TEST(SimulatorWire, Base64) {
     for (const std::string text : {"", "a", "ab", "abc", "abcd"}) {
-        std::string coded;
-        append_base64(coded, text);
-        EXPECT_EQ(coded.size() % 4, 0u);
-        EXPECT_EQ(from_base64(coded), text);
+        std::string encoded;
+        append_base64(encoded, text);
+        EXPECT_EQ(encoded.size() % 4, 0u);
+        EXPECT_EQ(decode_base64(encoded), text);
     }
-    std::string coded;
-    append_base64(coded, "hi 7");
-    EXPECT_EQ(coded, "aGkgNw==");
-    for (const std::string bent : {"a", "ab=c", "a===", "a-b=", "===="})
-        EXPECT_FALSE(from_base64(bent)) << bent;
+    std::string encoded;
+    append_base64(encoded, "hi 7");
+    EXPECT_EQ(encoded, "aGkgNw==");
+    for (const std::string malformed : {"a", "ab=c", "a===", "a-b=", "===="})
+        EXPECT_FALSE(decode_base64(malformed)) << malformed;
 }
