--- a/tools/fault_soak/shim/fault_shim.cpp
+++ b/tools/fault_soak/shim/fault_shim.cpp
@@ -1,5 +1,8 @@
-// A library to be preloaded into a gateway: system calls fail, are cut short or interrupted in the ways that
-// Linux documents, and the wall clock steps, as the control file says. Without that file nothing changes.
+// A library to be preloaded into a gateway. System calls fail, move fewer bytes or are interrupted in ways
+// that Linux documents, and the wall clock steps, at the rates of the control file (shim_control.h). Without
+// a control file nothing changes.
+//
+// Each function below replaces the C library's of the same name, and calls it.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <netinet/in.h>
@@ -14,34 +17,40 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <atomic>
 #include <cerrno>
-#include <cstdarg>
+#include <cstdio>
 #include <cstdlib>
-#include <cstring>
-#include <new>
+#include <initializer_list>
 #include <random>
+#include <type_traits>
 
 #include "../shim_control.h"
 
 namespace {
 using fault_soak::ShimControl;
 
-constexpr std::size_t short_part = 3;
-constexpr int most_vectors = 64;
+// A short read or write moves one part in so many of the bytes asked for.
+constexpr std::size_t short_io_divisor = 3;
+// Further vectors of a message are left out of a short read or write.
+constexpr std::size_t max_vectors = 64;
 
-ShimControl* map_control() {
-    static ShimControl none;
+// Null where the environment names no control file or it cannot be mapped. Opens the file by a direct system
+// call, not through the C library.
+ShimControl* map_control_file() {
     const char* const path = std::getenv(fault_soak::shim_control_variable);
-    const int file =
-        path != nullptr ? static_cast<int>(::syscall(SYS_openat, AT_FDCWD, path, O_RDWR | O_CLOEXEC)) : -1;
-    if (file < 0) return &none;
+    if (path == nullptr) return nullptr;
+    const int file = static_cast<int>(::syscall(SYS_openat, AT_FDCWD, path, O_RDWR | O_CLOEXEC));
+    if (file < 0) return nullptr;
     void* const mapped = ::mmap(nullptr, sizeof(ShimControl), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
     ::close(file);
-    return mapped == MAP_FAILED ? &none : static_cast<ShimControl*>(mapped);
+    return mapped == MAP_FAILED ? nullptr : static_cast<ShimControl*>(mapped);
 }
-ShimControl& control() {
-    static ShimControl* const mapped = map_control();
-    return *mapped;
+
+const ShimControl& control() {
+    static const ShimControl no_faults;
+    static const ShimControl* const mapped = map_control_file();
+    return mapped != nullptr ? *mapped : no_faults;
 }
 
 std::minstd_rand& random_source() {
@@ -51,152 +60,179 @@
     }());
     return source;
 }
-bool happens(const std::atomic<std::uint32_t>& chance) {
-    const std::uint32_t thousandths = chance.load(std::memory_order_relaxed);
+
+// Draws whether a call gets a fault that has this rate, in thousandths.
+bool draw(const std::atomic<std::uint32_t>& rate) {
+    const std::uint32_t thousandths = rate.load(std::memory_order_relaxed);
     return thousandths > 0 && random_source()() % 1000 < thousandths;
 }
-int one_of(std::initializer_list<int> errors) { return errors.begin()[random_source()() % errors.size()]; }
+
+// The result of a call that fails with this error.
 int fail(int error) {
     errno = error;
     return -1;
 }
+int fail_with_one_of(std::initializer_list<int> errors) {
+    return fail(errors.begin()[random_source()() % errors.size()]);
+}
+int fail_to_accept() { return fail_with_one_of({EMFILE, ENFILE, ENOBUFS, ENOMEM, EINTR}); }
+FILE* fail_to_open() {
+    errno = EIO;
+    return nullptr;
+}
 
+// The C library's function of that name.
 template <class Function>
-Function* next(const char* name) {
+Function* real_function(const char* name) {
     return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
-bool is_stream(int socket) {
-    int domain = 0, type = 0;
+// Whether a socket is a TCP socket over IPv4.
+bool is_tcp(int socket) {
+    int type = 0;
     socklen_t size = sizeof type;
     if (::getsockopt(socket, SOL_SOCKET, SO_TYPE, &type, &size) != 0 || type != SOCK_STREAM) return false;
+    int domain = 0;
     size = sizeof domain;
     return ::getsockopt(socket, SOL_SOCKET, SO_DOMAIN, &domain, &size) == 0 && domain == AF_INET;
 }
-std::size_t short_of(std::size_t size) { return std::max<std::size_t>(1, size / short_part); }
-
-// Copies the vectors, cut to a part of their bytes; the number of them.
-int cut(const iovec* from, std::size_t count, iovec* to) {
-    const int vectors = static_cast<int>(std::min<std::size_t>(count, most_vectors));
-    std::size_t all = 0;
-    for (int i = 0; i < vectors; ++i) all += from[i].iov_len;
-    std::size_t left = short_of(all);
-    for (int i = 0; i < vectors; ++i) {
-        to[i] = {from[i].iov_base, std::min(from[i].iov_len, left)};
-        left -= to[i].iov_len;
-    }
-    return vectors;
-}
+
+std::size_t shortened(std::size_t size) { return std::max<std::size_t>(1, size / short_io_divisor); }
+
 bool is_empty(const msghdr& message) {
     for (std::size_t i = 0; i < message.msg_iovlen; ++i)
         if (message.msg_iov[i].iov_len > 0) return false;
     return true;
 }
+
+// A message over the same buffers, shortened to a part of their bytes.
+class ShortMessage {
+  public:
+    explicit ShortMessage(const msghdr& message) : header_(message) {
+        const std::size_t count = std::min<std::size_t>(message.msg_iovlen, max_vectors);
+        std::size_t total = 0;
+        for (std::size_t i = 0; i < count; ++i) total += message.msg_iov[i].iov_len;
+        std::size_t left = shortened(total);
+        for (std::size_t i = 0; i < count; ++i) {
+            vectors_[i] = {message.msg_iov[i].iov_base, std::min(message.msg_iov[i].iov_len, left)};
+            left -= vectors_[i].iov_len;
+        }
+        header_.msg_iov = vectors_;
+        header_.msg_iovlen = count;
+    }
+    ShortMessage(const ShortMessage&) = delete;
+    ShortMessage& operator=(const ShortMessage&) = delete;
+
+    [[nodiscard]] msghdr& header() noexcept { return header_; }
+
+  private:
+    msghdr header_;
+    iovec vectors_[max_vectors];
+};
+
+// sendmsg() and recvmsg(), which differ in whether the message is const: recvmsg() sets its flags.
+template <class Message>
+ssize_t transfer(ssize_t (*real)(int, Message*, int), const std::atomic<std::uint32_t>& short_rate,
+                 int socket, Message* message, int flags) {
+    if (is_empty(*message) || !draw(short_rate) || !is_tcp(socket)) return real(socket, message, flags);
+    ShortMessage part(*message);
+    const ssize_t size = real(socket, &part.header(), flags);
+    if constexpr (!std::is_const_v<Message>) message->msg_flags = part.header().msg_flags;
+    return size;
+}
+
 }  // namespace
 
 extern "C" {
 
 ssize_t send(int socket, const void* bytes, size_t size, int flags) {
-    static const auto real = next<ssize_t(int, const void*, size_t, int)>("send");
-    const bool cuts = size > 1 && happens(control().short_writes) && is_stream(socket);
-    return real(socket, bytes, cuts ? short_of(size) : size, flags);
+    static const auto real = real_function<ssize_t(int, const void*, size_t, int)>("send");
+    const bool is_short = size > 1 && draw(control().short_writes) && is_tcp(socket);
+    return real(socket, bytes, is_short ? shortened(size) : size, flags);
 }
 ssize_t sendmsg(int socket, const msghdr* message, int flags) {
-    static const auto real = next<ssize_t(int, const msghdr*, int)>("sendmsg");
-    if (is_empty(*message) || !happens(control().short_writes) || !is_stream(socket))
-        return real(socket, message, flags);
-    iovec vectors[most_vectors];
-    msghdr less = *message;
-    less.msg_iovlen = static_cast<std::size_t>(cut(message->msg_iov, message->msg_iovlen, vectors));
-    less.msg_iov = vectors;
-    return real(socket, &less, flags);
+    static const auto real = real_function<ssize_t(int, const msghdr*, int)>("sendmsg");
+    return transfer(real, control().short_writes, socket, message, flags);
 }
 ssize_t recv(int socket, void* bytes, size_t size, int flags) {
-    static const auto real = next<ssize_t(int, void*, size_t, int)>("recv");
-    const bool cuts = size > 1 && happens(control().short_reads) && is_stream(socket);
-    return real(socket, bytes, cuts ? short_of(size) : size, flags);
+    static const auto real = real_function<ssize_t(int, void*, size_t, int)>("recv");
+    const bool is_short = size > 1 && draw(control().short_reads) && is_tcp(socket);
+    return real(socket, bytes, is_short ? shortened(size) : size, flags);
 }
 ssize_t recvmsg(int socket, msghdr* message, int flags) {
-    static const auto real = next<ssize_t(int, msghdr*, int)>("recvmsg");
-    if (is_empty(*message) || !happens(control().short_reads) || !is_stream(socket))
-        return real(socket, message, flags);
-    iovec vectors[most_vectors];
-    msghdr less = *message;
-    less.msg_iovlen = static_cast<std::size_t>(cut(message->msg_iov, message->msg_iovlen, vectors));
-    less.msg_iov = vectors;
-    const ssize_t got = real(socket, &less, flags);
-    message->msg_flags = less.msg_flags;
-    return got;
+    static const auto real = real_function<ssize_t(int, msghdr*, int)>("recvmsg");
+    return transfer(real, control().short_reads, socket, message, flags);
 }
 ssize_t sendto(int socket, const void* bytes, size_t size, int flags, const sockaddr* to, socklen_t length) {
     static const auto real =
-        next<ssize_t(int, const void*, size_t, int, const sockaddr*, socklen_t)>("sendto");
-    if (to != nullptr && happens(control().lost_datagrams)) return static_cast<ssize_t>(size);
+        real_function<ssize_t(int, const void*, size_t, int, const sockaddr*, socklen_t)>("sendto");
+    if (to != nullptr && draw(control().lost_datagrams)) return static_cast<ssize_t>(size);
     return real(socket, bytes, size, flags, to, length);
 }
 
 int accept(int socket, sockaddr* address, socklen_t* length) {
-    static const auto real = next<int(int, sockaddr*, socklen_t*)>("accept");
-    if (happens(control().failing_accepts)) return fail(one_of({EMFILE, ENFILE, ENOBUFS, ENOMEM, EINTR}));
+    static const auto real = real_function<int(int, sockaddr*, socklen_t*)>("accept");
+    if (draw(control().failing_accepts)) return fail_to_accept();
     return real(socket, address, length);
 }
 int accept4(int socket, sockaddr* address, socklen_t* length, int flags) {
-    static const auto real = next<int(int, sockaddr*, socklen_t*, int)>("accept4");
-    if (happens(control().failing_accepts)) return fail(one_of({EMFILE, ENFILE, ENOBUFS, ENOMEM, EINTR}));
+    static const auto real = real_function<int(int, sockaddr*, socklen_t*, int)>("accept4");
+    if (draw(control().failing_accepts)) return fail_to_accept();
     return real(socket, address, length, flags);
 }
 int connect(int socket, const sockaddr* address, socklen_t length) {
-    static const auto real = next<int(int, const sockaddr*, socklen_t)>("connect");
-    if (address->sa_family == AF_INET && happens(control().failing_connects))
-        return fail(one_of({EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN}));
-    if (address->sa_family != AF_INET || !happens(control().hanging_connects))
+    static const auto real = real_function<int(int, const sockaddr*, socklen_t)>("connect");
+    if (address->sa_family == AF_INET && draw(control().failing_connects))
+        return fail_with_one_of({EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN});
+    if (address->sa_family != AF_INET || !draw(control().hanging_connects))
         return real(socket, address, length);
-    sockaddr_in nowhere = *reinterpret_cast<const sockaddr_in*>(address);
-    nowhere.sin_port = htons(static_cast<std::uint16_t>(control().black_hole_port));
-    return real(socket, reinterpret_cast<const sockaddr*>(&nowhere), sizeof nowhere);
+    sockaddr_in black_hole = *reinterpret_cast<const sockaddr_in*>(address);
+    black_hole.sin_port = htons(static_cast<std::uint16_t>(control().black_hole_port));
+    return real(socket, reinterpret_cast<const sockaddr*>(&black_hole), sizeof black_hole);
 }
 int socket(int domain, int type, int protocol) {
-    static const auto real = next<int(int, int, int)>("socket");
-    if (domain == AF_INET && happens(control().failing_connects))
-        return fail(one_of({EMFILE, ENFILE, ENOBUFS, ENOMEM}));
+    static const auto real = real_function<int(int, int, int)>("socket");
+    if (domain == AF_INET && draw(control().failing_connects))
+        return fail_with_one_of({EMFILE, ENFILE, ENOBUFS, ENOMEM});
     return real(domain, type, protocol);
 }
 int bind(int socket, const sockaddr* address, socklen_t length) {
-    static const auto real = next<int(int, const sockaddr*, socklen_t)>("bind");
-    if (address->sa_family == AF_UNIX && happens(control().failing_files)) return fail(one_of({ENOSPC, EIO}));
+    static const auto real = real_function<int(int, const sockaddr*, socklen_t)>("bind");
+    if (address->sa_family == AF_UNIX && draw(control().failing_files))
+        return fail_with_one_of({ENOSPC, EIO});
     return real(socket, address, length);
 }
 
-int epoll_wait(int poll, epoll_event* events, int most, int timeout) {
-    static const auto real = next<int(int, epoll_event*, int, int)>("epoll_wait");
-    if (happens(control().interrupted_waits)) return fail(EINTR);
-    return real(poll, events, most, timeout);
+int epoll_wait(int epoll, epoll_event* events, int max_events, int timeout) {
+    static const auto real = real_function<int(int, epoll_event*, int, int)>("epoll_wait");
+    if (draw(control().interrupted_waits)) return fail(EINTR);
+    return real(epoll, events, max_events, timeout);
 }
 
 // The configuration is read through the C library's buffered files.
 FILE* fopen64(const char* path, const char* mode) {
-    static const auto real = next<FILE*(const char*, const char*)>("fopen64");
-    if (happens(control().failing_files)) return errno = EIO, nullptr;
+    static const auto real = real_function<FILE*(const char*, const char*)>("fopen64");
+    if (draw(control().failing_files)) return fail_to_open();
     return real(path, mode);
 }
 FILE* fopen(const char* path, const char* mode) {
-    static const auto real = next<FILE*(const char*, const char*)>("fopen");
-    if (happens(control().failing_files)) return errno = EIO, nullptr;
+    static const auto real = real_function<FILE*(const char*, const char*)>("fopen");
+    if (draw(control().failing_files)) return fail_to_open();
     return real(path, mode);
 }
 
 int clock_gettime(clockid_t clock, timespec* time) {
-    static const auto real = next<int(clockid_t, timespec*)>("clock_gettime");
-    const int done = real(clock, time);
-    if (done == 0 && clock == CLOCK_REALTIME)
+    static const auto real = real_function<int(clockid_t, timespec*)>("clock_gettime");
+    const int result = real(clock, time);
+    if (result == 0 && clock == CLOCK_REALTIME)
         time->tv_sec += control().wall_clock_step_s.load(std::memory_order_relaxed);
-    return done;
+    return result;
 }
 int gettimeofday(timeval* time, void* zone) {
-    static const auto real = next<int(timeval*, void*)>("gettimeofday");
-    const int done = real(time, zone);
-    if (done == 0) time->tv_sec += control().wall_clock_step_s.load(std::memory_order_relaxed);
-    return done;
+    static const auto real = real_function<int(timeval*, void*)>("gettimeofday");
+    const int result = real(time, zone);
+    if (result == 0) time->tv_sec += control().wall_clock_step_s.load(std::memory_order_relaxed);
+    return result;
 }
 
 }  // extern "C"
