--- a/bench/scale/gateway_run.h
+++ b/bench/scale/gateway_run.h
@@ -1,20 +1,22 @@
-// A real gateway under a long list of hosts that changes: processor time and memory, read from the system.
+// Measures a real gateway under a long endpoint list that changes: processor time and memory, as the system
+// counts them.
 #pragma once
 
-#include <cstdint>
 #include <string>
 #include <vector>
 
 namespace gateway::scale {
 
 struct GatewayRun {
-    std::string program;  // the gateway's
-    std::vector<int> hosts{1000, 20000, 150000};
+    std::string program;                          // the gateway
+    std::vector<int> hosts{1000, 20000, 150000};  // listed; a run each
     double changes_per_s = 2;
-    double seconds = 20;  // measured, after `settle_seconds`
-    double settle_seconds = 5;
+    double seconds = 20;        // measured, after `settle_seconds`
+    double settle_seconds = 5;  // in which the gateway takes in the complete list
 };
-// Throws std::runtime_error where the program can't be started or ends during the run.
+
+// Prints a row for each size. Throws std::runtime_error where the program cannot be started or ends during a
+// run.
 void run(const GatewayRun& run);
 
 }  // namespace gateway::scale
--- a/bench/scale/host_sweep.cpp
+++ b/bench/scale/host_sweep.cpp
@@ -1,39 +1,61 @@
+// The sweep over the number of listed hosts (sweeps.h).
 #include <algorithm>
+#include <cstddef>
+#include <cstdint>
 #include <random>
+#include <variant>
+#include <vector>
 
+#include "measure.h"
 #include "module_settings.h"
 #include "report.h"
 #include "sweeps.h"
 
 namespace gateway::scale {
+
 using namespace decision;
 using namespace std::chrono_literals;
 
 namespace {
+
 constexpr int zones = 15;
 constexpr int gateways = 2400;
+constexpr Micros change_interval = 300ms;
 constexpr Micros clean_up_period = 5s;  // the module's own is no longer
+constexpr int clean_ups = 4;
+constexpr Micros client_timeout = 600ms;
+constexpr Micros response_time = 20ms;
+constexpr double bytes_per_megabyte = 1e6;
+// From seconds to the units that are printed.
+constexpr double milliseconds = 1e3;
+constexpr double microseconds = 1e6;
 
-struct Costs {
-    double change = 0, slowest_change = 0, zone_lost = 0, clean_up = 0, request = 0;  // seconds
-    double bytes = 0;
+// What one instance costs. Times are in seconds of processor time.
+struct HostCosts {
+    double change = 0;  // in the mean
+    double slowest_change = 0;
+    double zone_lost = 0;
+    double clean_up = 0;  // the slowest
+    double request = 0;   // in the mean
+    double memory_mb = 0;
 };
 
-// One instance, and the clock and the actions that its events need.
+// One instance of the decision module with its clock, and the actions of its latest event.
 class Instance {
   public:
     explicit Instance(std::uint64_t seed) : gateway_(module_settings(0, gateways), seed, now_) {}
 
+    // Gives the processor time that the event has taken, in seconds.
     double handle(const Event& event) {
         actions_.clear();
-        const double spent = cpu_seconds_of([&] { gateway_.handle(now_, event, actions_); });
+        const double cpu_seconds = cpu_seconds_of([&] { gateway_.handle(now_, event, actions_); });
         for (const Action& action : actions_)
             if (const auto* timer = std::get_if<SetTimer>(&action)) latest_timer_ = timer->token;
-        return spent;
+        return cpu_seconds;
     }
-    void advance(Micros by) { now_ += by; }
-    const std::vector<Action>& actions() const { return actions_; }
-    std::uint64_t latest_timer() const { return latest_timer_; }
+    void advance(Micros time) { now_ += time; }
+    [[nodiscard]] const std::vector<Action>& actions() const noexcept { return actions_; }
+    [[nodiscard]] std::uint64_t latest_timer() const noexcept { return latest_timer_; }
 
   private:
     Micros now_ = 1h;
@@ -42,14 +64,14 @@
     std::uint64_t latest_timer_ = 0;
 };
 
-HostsChanged complete_list(int hosts) {
+HostsChanged complete_host_list(int hosts) {
     HostsChanged list;
     list.complete_list = true;
     for (int number = 0; number < hosts; ++number) list.entries.push_back(host_entry(number, zones));
     return list;
 }
 
-HostsChanged zone_lost(int hosts) {
+HostsChanged lost_zone(int hosts) {
     HostsChanged list;
     for (int number = 0; number < hosts; number += zones) {
         list.entries.push_back(host_entry(number, zones));
@@ -58,94 +80,118 @@
     return list;
 }
 
-// A request that is sent at once and answered well.
-double serve_one(Instance& instance, RequestId id) {
-    RequestArrived arrival;
-    arrival.id = id;
-    arrival.customer = "customer";
-    arrival.plan = -1;
-    arrival.time_left = 600ms;
-    double spent = instance.handle(arrival);
+HostsChanged change_of(int host, HostState state) {
+    HostsChanged list;
+    list.entries.push_back(host_entry(host, zones));
+    list.entries.back().state = state;
+    return list;
+}
+
+// Gives what a request has taken that is sent at once and answered with success, in seconds.
+double serve_request(Instance& instance, RequestId id) {
+    RequestArrived request;
+    request.id = id;
+    request.customer = "customer";
+    request.plan = -1;
+    request.time_left = client_timeout;
+    double cpu_seconds = instance.handle(request);
     for (const Action& action : instance.actions()) {
-        const auto* sent = std::get_if<SendAttempt>(&action);
-        if (sent == nullptr) continue;
+        const auto* attempt = std::get_if<SendAttempt>(&action);
+        if (attempt == nullptr) continue;
         AttemptEnded ended;
         ended.id = id;
-        ended.host = sent->host;
-        ended.elapsed = 20ms;
+        ended.host = attempt->host;
+        ended.elapsed = response_time;
         ended.request_completed = true;
-        spent += instance.handle(ended);
+        cpu_seconds += instance.handle(ended);
         break;
     }
-    return spent;
+    return cpu_seconds;
 }
 
-Costs measure(const HostSweep& sweep, int hosts, std::uint64_t seed) {
-    Costs costs;
+// Gives the bytes that the list holds in memory.
+double load_complete_list(Instance& instance, int hosts) {
+    const HostsChanged list = complete_host_list(hosts);
     const std::size_t heap_before = heap_bytes();
-    Instance instance(seed);
-    const std::uint64_t heartbeat = (instance.handle(HandedOver{false}), instance.latest_timer());
-    {
-        const HostsChanged list = complete_list(hosts);
-        const std::size_t list_bytes = heap_bytes();
-        instance.handle(list);
-        costs.bytes = static_cast<double>(heap_bytes() - list_bytes);
-    }
-    costs.bytes = std::max(costs.bytes, static_cast<double>(heap_bytes() - heap_before));
+    instance.handle(list);
+    return static_cast<double>(heap_bytes() - heap_before);
+}
 
+void measure_changes(Instance& instance, const HostSweep& sweep, int hosts, std::uint64_t seed,
+                     HostCosts& costs) {
     std::mt19937_64 random(seed);
     RequestId next_request = 1;
     for (int change = 0; change < sweep.changes; ++change) {
-        instance.advance(300ms);
-        HostsChanged changed;
-        changed.entries.push_back(
-            host_entry(static_cast<int>(random() % static_cast<unsigned>(hosts)), zones));
-        changed.entries.back().state = change % 2 == 0 ? HostState::draining : HostState::up;
-        const double spent = instance.handle(changed);
-        costs.change += spent / sweep.changes;
-        costs.slowest_change = std::max(costs.slowest_change, spent);
-        costs.request += serve_one(instance, next_request++) / sweep.changes;
+        instance.advance(change_interval);
+        const int host = static_cast<int>(random() % static_cast<unsigned>(hosts));
+        const HostState state = change % 2 == 0 ? HostState::draining : HostState::up;
+        const double cpu_seconds = instance.handle(change_of(host, state));
+        costs.change += cpu_seconds / sweep.changes;
+        costs.slowest_change = std::max(costs.slowest_change, cpu_seconds);
+        costs.request += serve_request(instance, next_request) / sweep.changes;
+        ++next_request;
     }
-    for (int round = 0; round < 4; ++round) {
+}
+
+HostCosts measure(const HostSweep& sweep, int hosts, std::uint64_t seed) {
+    HostCosts costs;
+    const std::size_t heap_before = heap_bytes();
+    Instance instance(seed);
+    // Sets the timer that cleans up.
+    instance.handle(HandedOver{false});
+    const std::uint64_t clean_up_timer = instance.latest_timer();
+    const double list_bytes = load_complete_list(instance, hosts);
+    const double bytes = std::max(list_bytes, static_cast<double>(heap_bytes() - heap_before));
+    costs.memory_mb = bytes / bytes_per_megabyte;
+    measure_changes(instance, sweep, hosts, seed, costs);
+    for (int round = 0; round < clean_ups; ++round) {
         instance.advance(clean_up_period);
-        costs.clean_up = std::max(costs.clean_up, instance.handle(TimerFired{heartbeat}));
+        costs.clean_up = std::max(costs.clean_up, instance.handle(TimerFired{clean_up_timer}));
     }
-    costs.zone_lost = instance.handle(zone_lost(hosts));
+    costs.zone_lost = instance.handle(lost_zone(hosts));
     return costs;
 }
 
+// A cost over the repeats of a point, multiplied to the unit that is printed.
+Summary summarize_cost(const std::vector<HostCosts>& repeats, double HostCosts::*cost, double factor = 1) {
+    std::vector<double> values;
+    for (const HostCosts& costs : repeats) values.push_back(costs.*cost * factor);
+    return summarize(values);
+}
+
+Row make_row(const HostSweep& sweep, int hosts, const std::vector<HostCosts>& repeats) {
+    Row row;
+    row.sweep = "hosts";
+    row.sizes = {{"hosts", static_cast<double>(hosts)}};
+    row.counts = {{"changes", static_cast<double>(sweep.changes)}};
+    row.measured = {{"change_ms", summarize_cost(repeats, &HostCosts::change, milliseconds)},
+                    {"slowest_change_ms", summarize_cost(repeats, &HostCosts::slowest_change, milliseconds)},
+                    {"clean_up_ms", summarize_cost(repeats, &HostCosts::clean_up, milliseconds)},
+                    {"zone_lost_ms", summarize_cost(repeats, &HostCosts::zone_lost, milliseconds)},
+                    {"request_us", summarize_cost(repeats, &HostCosts::request, microseconds)},
+                    {"memory_mb", summarize_cost(repeats, &HostCosts::memory_mb)}};
+    return row;
+}
+
 }  // namespace
 
 void run(const HostSweep& sweep) {
-    std::vector<Point> change_points, clean_up_points, bytes_points;
+    std::vector<Point> change_points;
+    std::vector<Point> clean_up_points;
+    std::vector<Point> memory_points;
     for (const int hosts : sweep.hosts) {
-        std::vector<double> change, slowest, clean_up, zone, request, bytes;
-        for (int repeat = 0; repeat < sweep.repeats; ++repeat) {
-            const Costs costs = measure(sweep, hosts, sweep.seed + static_cast<std::uint64_t>(repeat));
-            change.push_back(costs.change * 1e3);
-            slowest.push_back(costs.slowest_change * 1e3);
-            clean_up.push_back(costs.clean_up * 1e3);
-            zone.push_back(costs.zone_lost * 1e3);
-            request.push_back(costs.request * 1e6);
-            bytes.push_back(costs.bytes / 1e6);
-        }
-        print({"hosts",
-               {{"hosts", hosts}},
-               {{"changes", sweep.changes}},
-               {{"change_ms", summarize(change)},
-                {"slowest_change_ms", summarize(slowest)},
-                {"clean_up_ms", summarize(clean_up)},
-                {"zone_lost_ms", summarize(zone)},
-                {"request_us", summarize(request)},
-                {"memory_mb", summarize(bytes)}}},
-              sweep.seed);
-        change_points.push_back({static_cast<double>(hosts), summarize(change).median});
-        clean_up_points.push_back({static_cast<double>(hosts), summarize(clean_up).median});
-        bytes_points.push_back({static_cast<double>(hosts), summarize(bytes).median});
+        std::vector<HostCosts> repeats;
+        for (int repeat = 0; repeat < sweep.repeats; ++repeat)
+            repeats.push_back(measure(sweep, hosts, sweep.seed + static_cast<std::uint64_t>(repeat)));
+        print(make_row(sweep, hosts, repeats), sweep.seed);
+        const auto size = static_cast<double>(hosts);
+        change_points.push_back({size, summarize_cost(repeats, &HostCosts::change, milliseconds).median});
+        clean_up_points.push_back({size, summarize_cost(repeats, &HostCosts::clean_up, milliseconds).median});
+        memory_points.push_back({size, summarize_cost(repeats, &HostCosts::memory_mb).median});
     }
     print_exponent("hosts", "change_ms", "hosts", change_points);
     print_exponent("hosts", "clean_up_ms", "hosts", clean_up_points);
-    print_exponent("hosts", "memory_mb", "hosts", bytes_points);
+    print_exponent("hosts", "memory_mb", "hosts", memory_points);
 }
 
 }  // namespace gateway::scale
--- a/bench/scale/measure.cpp
+++ b/bench/scale/measure.cpp
@@ -35,17 +35,22 @@
     return {quantile(values, 0), quantile(values, 0.5), quantile(values, 1)};
 }
 
+// The slope of the regression line through the logarithms.
 double fitted_exponent(const std::vector<Point>& points) {
-    double sum_x = 0, sum_y = 0, sum_xx = 0, sum_xy = 0;
+    double sum_size = 0;
+    double sum_value = 0;
+    double sum_size_squared = 0;
+    double sum_product = 0;
     for (const Point& point : points) {
-        const double x = std::log(point.size), y = std::log(point.value);
-        sum_x += x;
-        sum_y += y;
-        sum_xx += x * x;
-        sum_xy += x * y;
+        const double log_size = std::log(point.size);
+        const double log_value = std::log(point.value);
+        sum_size += log_size;
+        sum_value += log_value;
+        sum_size_squared += log_size * log_size;
+        sum_product += log_size * log_value;
     }
     const auto count = static_cast<double>(points.size());
-    return (count * sum_xy - sum_x * sum_y) / (count * sum_xx - sum_x * sum_x);
+    return (count * sum_product - sum_size * sum_value) / (count * sum_size_squared - sum_size * sum_size);
 }
 
 }  // namespace gateway::scale
--- a/bench/scale/module_settings.cpp
+++ b/bench/scale/module_settings.cpp
@@ -6,8 +6,10 @@
 
 namespace {
 // The rates of the largest plan of the first deployment's site.
-constexpr double plan_rate = 50, plan_burst_s = 2;
-constexpr int hosts_in_a_cell = 8;
+constexpr double plan_rate = 50;    // units a second
+constexpr double plan_burst_s = 2;  // seconds of the rate that the bucket holds
+constexpr int hosts_per_cell = 8;
+constexpr int first_host_number = 1000000;  // so that all names are of one length
 }  // namespace
 
 decision::Settings module_settings(int rank, int instances) {
@@ -41,10 +43,10 @@
 
 decision::HostEntry host_entry(int number, int zones, int generation) {
     HostEntry entry;
-    entry.host = "s-" + std::to_string(1000000 + number) + '-' + std::to_string(generation);
+    entry.host = "s-" + std::to_string(first_host_number + number) + '-' + std::to_string(generation);
     entry.zone = "zone-" + std::to_string(number % zones);
     entry.kind = "std-2c";
-    entry.cell = number / hosts_in_a_cell;
+    entry.cell = number / hosts_per_cell;
     return entry;
 }
 
--- a/bench/scale/module_settings.h
+++ b/bench/scale/module_settings.h
@@ -5,8 +5,11 @@
 
 namespace gateway::scale {
 
-decision::Settings module_settings(int rank, int instances);
-// Host `number` of a fleet spread over `zones` zones; `generation` counts its restarts.
-decision::HostEntry host_entry(int number, int zones, int generation = 0);
+// Of the gateway with that rank in a fleet of `instances` gateways.
+[[nodiscard]] decision::Settings module_settings(int rank, int instances);
+
+// Entry of the endpoint list for host `number` of those spread over `zones` zones; `generation` counts its
+// restarts.
+[[nodiscard]] decision::HostEntry host_entry(int number, int zones, int generation = 0);
 
 }  // namespace gateway::scale
--- a/bench/scale/report.cpp
+++ b/bench/scale/report.cpp
@@ -12,11 +12,11 @@
             std::printf(",\"%s\":%.10g", name.c_str(), value);
             std::fprintf(stderr, "  %s=%.6g", name.c_str(), value);
         }
-    for (const auto& [name, value] : row.measured) {
-        std::printf(",\"%s\":{\"min\":%.6g,\"median\":%.6g,\"max\":%.6g}", name.c_str(), value.minimum,
-                    value.median, value.maximum);
-        std::fprintf(stderr, "  %s=%.4g (%.4g..%.4g)", name.c_str(), value.median, value.minimum,
-                     value.maximum);
+    for (const auto& [name, summary] : row.measured) {
+        std::printf(",\"%s\":{\"min\":%.6g,\"median\":%.6g,\"max\":%.6g}", name.c_str(), summary.minimum,
+                    summary.median, summary.maximum);
+        std::fprintf(stderr, "  %s=%.4g (%.4g..%.4g)", name.c_str(), summary.median, summary.minimum,
+                     summary.maximum);
     }
     std::printf("}\n");
     std::fprintf(stderr, "\n");
--- a/bench/scale/report.h
+++ b/bench/scale/report.h
@@ -1,26 +1,35 @@
-// The results of a scale run: JSON lines for machines on standard output, a table for people on standard
-// error.
+// Prints the results of a scale run: JSON lines on standard output, a table for people on standard error.
 #pragma once
 
 #include <cstdint>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "measure.h"
 
 namespace gateway::scale {
 
-// One measured point: the sizes it was taken at and what was found there, each name with its unit.
+// A result; its name ends with its unit.
+struct NamedValue {
+    std::string name;
+    double value = 0;
+};
+struct NamedSummary {
+    std::string name;
+    Summary summary;
+};
+
+// One measured point of a sweep. Results are printed in their order.
 struct Row {
     std::string sweep;
-    std::vector<std::pair<std::string, double>> sizes;
-    std::vector<std::pair<std::string, double>> counts;     // the same for the same seed
-    std::vector<std::pair<std::string, Summary>> measured;  // over the repeats
+    std::vector<NamedValue> sizes;       // that the point was measured at
+    std::vector<NamedValue> counts;      // of one run
+    std::vector<NamedSummary> measured;  // over the repeats
 };
 
 void print(const Row& row, std::uint64_t seed);
-// The exponent with which a value grows with a size over the points of a sweep.
+// Prints the exponent with which a value grows with a size over the points of a sweep; nothing for fewer than
+// two points.
 void print_exponent(const std::string& sweep, const std::string& value, const std::string& size,
                     const std::vector<Point>& points);
 
