--- /dev/null
+++ b/src/server/graceful_shutdown.cpp
@@ -0,0 +1,75 @@
+#include "graceful_shutdown.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "log.h"
+
+namespace gateway::server {
+using namespace std::chrono_literals;
+
+namespace {
+// New connections arrive for 0.4 s after SIGTERM; the listener stays open longer than that.
+constexpr std::chrono::milliseconds accept_time = 700ms;
+constexpr std::chrono::milliseconds check_interval = 20ms;
+// SIGKILL follows 0.7 s after the longest deadline, of which no more than 3 s count. Whatever is in flight by
+// then is answered with a margin before it.
+constexpr Micros max_counted_deadline = 3s;
+constexpr Micros margin_before_kill = 150ms;
+}  // namespace
+
+GracefulShutdown::GracefulShutdown(boost::asio::io_context& io, const Dependencies& dependencies)
+    : clock_(dependencies.clock),
+      settings_(dependencies.settings),
+      guard_(dependencies.guard),
+      listeners_(dependencies.listeners),
+      requests_(dependencies.requests),
+      upgrade_(dependencies.upgrade),
+      timer_(io) {}
+
+void GracefulShutdown::start(Discovery& discovery, std::function<void()> on_drained) {
+    if (on_drained_) return;
+    discovery_ = &discovery;
+    on_drained_ = std::move(on_drained);
+    if (listeners_.clients() == nullptr) {
+        on_drained_();
+        return;
+    }
+    LogLine(LogLevel::info, "draining").with("requests", static_cast<std::int64_t>(requests_.in_flight()));
+    listeners_.clients()->drain();
+    latest_end_ = latest_end();
+    check_after(accept_time);
+}
+
+Micros GracefulShutdown::latest_end() const {
+    Micros longest_deadline{0};
+    for (const decision::RequestClass& request_class : settings_.classes)
+        longest_deadline = std::max(longest_deadline, request_class.deadline);
+    return clock_.now() + accept_time + std::min(longest_deadline, max_counted_deadline) - margin_before_kill;
+}
+
+void GracefulShutdown::check_after(std::chrono::milliseconds delay) {
+    timer_.expires_after(delay);
+    timer_.async_wait([this](boost::system::error_code cancelled) {
+        if (!cancelled) check();
+    });
+}
+
+void GracefulShutdown::check() {
+    // A client that never completes its request does not delay the end, and a request whose deadline is
+    // beyond the end is answered now.
+    const bool time_over = clock_.now() >= latest_end_;
+    if (time_over) requests_.fail_unanswered();
+    ClientServer& clients = *listeners_.clients();
+    if (!time_over && (!clients.quiet() || clients.take_rest() || upgrade_.is_delivering())) {
+        check_after(check_interval);
+        return;
+    }
+    discovery_->stop();
+    LogLine(LogLevel::info, "drained")
+        .with("cause", time_over ? "time_over" : "quiet")
+        .with("rule_violations", guard_.violations().total());
+    on_drained_();
+}
+
+}  // namespace gateway::server
--- /dev/null
+++ b/src/server/host_manager.cpp
@@ -0,0 +1,105 @@
+#include "host_manager.h"
+
+#include <chrono>
+#include <string_view>
+#include <utility>
+
+#include "load_report.h"
+#include "log.h"
+#include "outcome.h"
+
+namespace gateway::server {
+namespace {
+
+decision::HostState to_host_state(EndpointState state) {
+    switch (state) {
+        case EndpointState::ready:
+            return decision::HostState::up;
+        case EndpointState::draining:
+            return decision::HostState::draining;
+        case EndpointState::gone:
+            break;
+    }
+    return decision::HostState::gone;
+}
+
+const char* to_string(EndpointState state) {
+    switch (state) {
+        case EndpointState::ready:
+            return "ready";
+        case EndpointState::draining:
+            return "draining";
+        case EndpointState::gone:
+            break;
+    }
+    return "gone";
+}
+
+void log_endpoint_list(const EndpointList& list) {
+    LogLine(LogLevel::info, "hosts_listed")
+        .with("revision", list.version)
+        .with("whole", list.whole ? "yes" : "no")
+        .with("hosts", static_cast<std::int64_t>(list.endpoints.size()));
+    if (!logs(LogLevel::debug)) return;
+    for (const Endpoint& endpoint : list.endpoints)
+        LogLine(LogLevel::debug, "host_listed")
+            .with("host", endpoint.uid)
+            .with("state", to_string(endpoint.state))
+            .with("boot_ms", endpoint.boot_ms);
+}
+
+decision::HostsChanged to_event(const EndpointList& list) {
+    decision::HostsChanged event;
+    event.complete_list = list.whole;
+    for (const Endpoint& endpoint : list.endpoints)
+        event.entries.push_back({endpoint.uid, endpoint.zone, endpoint.kind, endpoint.cell,
+                                 to_host_state(endpoint.state), endpoint.weight,
+                                 std::chrono::milliseconds(endpoint.boot_ms)});
+    return event;
+}
+}  // namespace
+
+HostManager::HostManager(decision::RuleGuard& guard, EventDispatcher& dispatcher, HostPool& pool)
+    : guard_(guard), dispatcher_(dispatcher), pool_(pool) {}
+
+void HostManager::on_endpoint_list(const EndpointList& list) {
+    if (!list.whole && list.endpoints.empty()) return;  // a watch that ended without a change
+    track(list);
+    decision::HostsChanged event = to_event(list);
+    guard_.hosts_changed(event);
+    log_endpoint_list(list);
+    // The module sees the change before the attempts that the change ends; when it handles the event, the
+    // pool knows the hosts.
+    dispatcher_.dispatch_before(std::move(event), [&] { pool_.update(list); });
+}
+
+void HostManager::track(const EndpointList& list) {
+    if (list.whole) ready_hosts_.clear();
+    std::unordered_set<std::string_view> listed;
+    for (const Endpoint& endpoint : list.endpoints) {
+        listed.insert(endpoint.uid);
+        if (endpoint.state == EndpointState::ready) ready_hosts_.insert(endpoint.uid);
+        else ready_hosts_.erase(endpoint.uid);
+        known_names_.listed(endpoint.uid);
+        if (endpoint.state == EndpointState::gone) known_names_.gone(endpoint.uid, Steady::now());
+    }
+    if (list.whole) known_names_.only(listed, Steady::now());
+    known_names_.forget_old(Steady::now(), pool_.banned());
+}
+
+void HostManager::on_health_check_ended(const std::string& uid, HostResult&& result) {
+    decision::HealthCheckEnded event{uid, to_decision_outcome(result.outcome), result.elapsed, {}};
+    if (result.outcome == HostOutcome::success)
+        event.report =
+            read_load_report(result.load_report.empty() ? result.answer.body() : result.load_report);
+    dispatcher_.dispatch(std::move(event));
+}
+
+void HostManager::set_banned(const std::string& uid, bool banned) {
+    const decision::HostBanned event{uid, banned};
+    LogLine(LogLevel::info, banned ? "host_taken_out" : "host_put_back").with("host", uid);
+    guard_.host_banned(event);
+    dispatcher_.dispatch_before(event, [&] { pool_.ban(uid, banned); });
+}
+
+}  // namespace gateway::server
--- /dev/null
+++ b/src/server/in_flight_requests.cpp
@@ -0,0 +1,36 @@
+#include "in_flight_requests.h"
+
+#include <utility>
+
+namespace gateway::server {
+
+InFlightRequest& InFlightRequests::add(decision::RequestId id, InFlightRequest&& request) {
+    InFlightRequest& added = requests_.try_emplace(id, std::move(request)).first->second;
+    trace_ids_.insert(added.trace_id);
+    return added;
+}
+
+InFlightRequest* InFlightRequests::find(decision::RequestId id) {
+    const auto found = requests_.find(id);
+    return found == requests_.end() ? nullptr : &found->second;
+}
+
+bool InFlightRequests::contains_trace_id(std::string_view trace_id) const {
+    return trace_ids_.count(trace_id) > 0;
+}
+
+void InFlightRequests::erase(decision::RequestId id) {
+    const auto found = requests_.find(id);
+    if (found == requests_.end()) return;
+    trace_ids_.erase(found->second.trace_id);
+    requests_.erase(found);
+}
+
+std::vector<decision::RequestId> InFlightRequests::unanswered() const {
+    std::vector<decision::RequestId> ids;
+    for (const auto& [id, request] : requests_)
+        if (!request.answered) ids.push_back(id);
+    return ids;
+}
+
+}  // namespace gateway::server
--- /dev/null
+++ b/src/server/request_handler.cpp
@@ -0,0 +1,300 @@
+#include "request_handler.h"
+
+#include <algorithm>
+#include <cmath>
+#include <cstdio>
+#include <utility>
+
+#include "load_report.h"
+#include "log.h"
+#include "outcome.h"
+
+namespace gateway::server {
+using namespace std::chrono_literals;
+
+namespace {
+// In seconds, rounded up to milliseconds.
+std::string format_retry_after(Micros retry_after) {
+    char text[32];
+    const double seconds = std::ceil(static_cast<double>(retry_after.count()) / 1e3) / 1e3;
+    std::snprintf(text, sizeof text, "%.3f", seconds);
+    return text;
+}
+
+// Whether this process closes the connection for reasons of its own, rather than for what the client does.
+bool is_closed_by_gateway(ClientCloseReason reason) {
+    return reason == ClientCloseReason::evicted || reason == ClientCloseReason::linger_timeout ||
+           reason == ClientCloseReason::timeout || reason == ClientCloseReason::internal_error;
+}
+}  // namespace
+
+RequestHandler::RequestHandler(const Dependencies& dependencies)
+    : clock_(dependencies.clock),
+      settings_(dependencies.settings),
+      guard_(dependencies.guard),
+      metrics_(dependencies.metrics),
+      dispatcher_(dependencies.dispatcher),
+      timers_(dependencies.timers),
+      pool_(dependencies.pool),
+      listeners_(dependencies.listeners),
+      check_(dependencies.settings) {}
+
+// ---- clients ----
+
+void RequestHandler::on_request(ClientRequest&& request) {
+    RequestFacts facts;
+    Complaint complaint = check_.read(request.message, facts);
+    // A host would see a second copy of a request in flight, and its answer could reach the wrong one.
+    if (!complaint && requests_.contains_trace_id(facts.id))
+        complaint = {http::status::conflict, "X-Trace-Id: expected one that is not open"};
+    metrics_.request_received();
+    if (complaint) {
+        metrics_.request_rejected();
+        LogLine(LogLevel::debug, "request_rejected")
+            .with("request", request.id)
+            .with("cause", complaint.text);
+        clients().reject(request.id, make_answer(complaint.status, complaint.text + '\n'));
+        return;
+    }
+    decision::RequestArrived event;
+    event.id = request.id;
+    event.customer = std::move(facts.customer);
+    event.plan = facts.plan;
+    event.request_class = facts.request_class;
+    event.units = facts.units;
+    const Micros deadline = clock_.at(request.arrived) + facts.time_left;
+    event.time_left = deadline - clock_.now();
+    event.set_size = facts.set_size;
+    event.set_start = facts.set_start;
+    InFlightRequest arrived;
+    arrived.message = std::move(request.message);
+    arrived.body_room = std::move(request.room);
+    arrived.trace_id = std::move(facts.id);
+    arrived.deadline = deadline;
+    const InFlightRequest& added = requests_.add(request.id, std::move(arrived));
+    LogLine(LogLevel::debug, "request_received")
+        .with("request", request.id)
+        .with("connection", request.connection)
+        .with("trace", added.trace_id)
+        .with("class", settings_.classes[static_cast<std::size_t>(event.request_class)].name)
+        .with("customer", event.customer)
+        .with("left", event.time_left);
+    guard_.request_arrived(request.id, event.request_class, deadline);
+    timers_.add_deadline(deadline, request.id);
+    dispatcher_.dispatch(std::move(event));
+}
+
+void RequestHandler::on_client_disconnected(decision::RequestId id) {
+    InFlightRequest* const request = requests_.find(id);
+    if (request == nullptr) return;
+    if (request->streaming_attempt) {
+        pool_.cancel({id, *request->streaming_attempt});
+        return;
+    }
+    if (request->answered) return;
+    LogLine(LogLevel::debug, "client_left").with("request", id).with("trace", request->trace_id);
+    guard_.client_left(id);
+    dispatcher_.dispatch_before(decision::ClientDisconnected{id}, [&] { close(id, *request); });
+}
+
+void RequestHandler::on_piece_written(decision::RequestId id) {
+    const InFlightRequest* const request = requests_.find(id);
+    if (request != nullptr && request->streaming_attempt) pool_.read_on({id, *request->streaming_attempt});
+}
+
+void RequestHandler::on_client_closed(ClientCloseReason reason, decision::RequestId id) {
+    metrics_.client_closed(reason);
+    if (!is_closed_by_gateway(reason) || id == 0) return;
+    const InFlightRequest* const request = requests_.find(id);
+    if (request == nullptr || request->answered) return;
+    guard_.closed_unanswered();
+    LogLine(LogLevel::error, "closed_unanswered")
+        .with("request", id)
+        .with("trace", request->trace_id)
+        .with("cause", to_string(reason));
+}
+
+// ---- hosts ----
+
+void RequestHandler::on_attempt_ended(const HostPool::AttemptKey& key, const std::string& uid,
+                                      HostResult&& result) {
+    InFlightRequest* const request = requests_.find(key.request);
+    if (request == nullptr) return;
+    --request->attempts_in_flight;
+    const decision::Outcome outcome = to_decision_outcome(result.outcome);
+    metrics_.attempt_ended(result.outcome);
+    guard_.attempt_ended(key.request, key.attempt, outcome);
+    LogLine(LogLevel::debug, "attempt_ended")
+        .with("request", key.request)
+        .with("trace", request->trace_id)
+        .with("attempt", key.attempt)
+        .with("host", uid)
+        .with("outcome", to_string(result.outcome))
+        .with("took", result.elapsed);
+    const bool answers_request = result.outcome == HostOutcome::success && !request->answered;
+    if (request->streaming_attempt == key.attempt) {
+        request->streaming_attempt.reset();
+        if (result.outcome == HostOutcome::success)
+            clients().end_answer(key.request, std::move(result.answer.body()));
+        else clients().break_answer(key.request);
+    }
+    decision::AttemptEnded event;
+    event.id = key.request;
+    event.attempt = key.attempt;
+    event.host = uid;
+    event.outcome = outcome;
+    event.elapsed = result.elapsed;
+    event.request_completed = request->answered || answers_request;
+    if (!result.load_report.empty()) event.report = read_load_report(result.load_report);
+    dispatcher_.dispatch_before(std::move(event), [&] {
+        if (answers_request) answer(key.request, *request, std::move(result.answer));
+        else erase_if_over(key.request);
+    });
+}
+
+// From here on the client determines how long the attempt takes: it ends with the host or the client.
+bool RequestHandler::on_response_started(const HostPool::AttemptKey& key, const std::string& uid,
+                                         HostResult&& result) {
+    InFlightRequest* const request = requests_.find(key.request);
+    if (request == nullptr || request->answered) return false;
+    request->streaming_attempt = key.attempt;
+    LogLine(LogLevel::debug, "answer_begun").with("request", key.request).with("trace", request->trace_id);
+    metrics_.answered(result.answer.result_int());
+    guard_.answered(key.request, clock_.now());
+    dispatcher_.dispatch_before(decision::ResponseStarted{key.request, uid},
+                                [&] { close(key.request, *request); });
+    clients().begin_answer(key.request, std::move(result.answer));
+    return true;
+}
+
+// ---- actions ----
+
+void RequestHandler::execute(const decision::SendAttempt& action) {
+    InFlightRequest* const request = requests_.find(action.id);
+    if (request == nullptr) return;
+    const int attempt = request->attempts_started++;
+    const Micros now = clock_.now();
+    const Micros time_left = request->deadline - now;
+    const decision::SendVerdict verdict = guard_.begin_attempt(action.id, attempt, action.host, now);
+    LogLine(verdict == decision::SendVerdict::allowed ? LogLevel::debug : LogLevel::warning, "attempt")
+        .with("request", action.id)
+        .with("trace", request->trace_id)
+        .with("attempt", attempt)
+        .with("cause", to_string(action.reason))
+        .with("host", action.host)
+        .with("left", time_left)
+        .with("verdict", to_string(verdict));
+    if (verdict != decision::SendVerdict::allowed) {
+        report_not_sent(action, attempt, request->answered);
+        return;
+    }
+    metrics_.attempt_begun(action.reason);
+    ++request->attempts_in_flight;
+    pool_.attempt({action.id, attempt}, action.host, request->message,
+                  action.timeout > 0us ? std::min(action.timeout, time_left) : time_left);
+}
+
+void RequestHandler::report_not_sent(const decision::SendAttempt& action, int attempt, bool answered) {
+    decision::AttemptEnded event;
+    event.id = action.id;
+    event.attempt = attempt;
+    event.host = action.host;
+    event.outcome = decision::Outcome::not_sent;
+    event.request_completed = answered;
+    dispatcher_.dispatch(std::move(event));
+}
+
+void RequestHandler::execute(const decision::RejectRequest& action) {
+    InFlightRequest* const request = requests_.find(action.id);
+    if (request == nullptr || request->answered) return;
+    if (!guard_.may_refuse(action.id)) {
+        LogLine(LogLevel::error, "refusal_held_back")
+            .with("request", action.id)
+            .with("trace", request->trace_id);
+        execute(decision::FailRequest{action.id, action.reason});
+        return;
+    }
+    LogLine(LogLevel::debug, "refused")
+        .with("request", action.id)
+        .with("trace", request->trace_id)
+        .with("cause", to_string(action.reason))
+        .with("retry_after", action.retry_after);
+    metrics_.refused(action.reason);
+    Answer rejection = make_answer(request->attempts_started == 0 ? http::status::too_many_requests
+                                                                  : http::status::service_unavailable);
+    if (action.retry_after > 0us)
+        rejection.set(http::field::retry_after, format_retry_after(action.retry_after));
+    answer(action.id, *request, std::move(rejection));
+}
+
+void RequestHandler::execute(const decision::FailRequest& action) {
+    InFlightRequest* const request = requests_.find(action.id);
+    if (request == nullptr || request->answered) return;
+    LogLine(LogLevel::debug, "failed")
+        .with("request", action.id)
+        .with("trace", request->trace_id)
+        .with("cause", to_string(action.reason));
+    metrics_.failed(action.reason);
+    answer(action.id, *request, make_answer(http::status::gateway_timeout));
+}
+
+void RequestHandler::execute(const decision::CancelAttempt& action) {
+    LogLine(LogLevel::debug, "attempt_cancelled").with("request", action.id).with("attempt", action.attempt);
+    pool_.cancel({action.id, action.attempt});
+}
+
+// ---- the end of a request ----
+
+void RequestHandler::answer(decision::RequestId id, InFlightRequest& request, Answer&& answer) {
+    if (request.answered) return;
+    const Micros now = clock_.now();
+    LogLine(LogLevel::debug, "answered")
+        .with("request", id)
+        .with("trace", request.trace_id)
+        .with("status", static_cast<int>(answer.result_int()))
+        .with("left", request.deadline - now);
+    metrics_.answered(answer.result_int());
+    guard_.answered(id, now);
+    close(id, request);
+    clients().answer(id, std::move(answer));
+}
+
+// The request has its final answer, or needs none. While attempts are in flight its trace id stays reserved,
+// because a host may still hold the request. Unsent attempts are withdrawn, because a connection that comes
+// up late would carry the request to a host after its end.
+void RequestHandler::close(decision::RequestId id, InFlightRequest& request) {
+    request.answered = true;
+    request.message = {};
+    request.body_room.give_back();
+    if (request.attempts_in_flight > 0) pool_.withdraw(id);
+    erase_if_over(id);
+}
+
+void RequestHandler::erase_if_over(decision::RequestId id) {
+    const InFlightRequest* const request = requests_.find(id);
+    if (request == nullptr || !request->answered || request->attempts_in_flight > 0) return;
+    guard_.forget(id);
+    requests_.erase(id);
+}
+
+void RequestHandler::on_deadline(decision::RequestId id) {
+    // The module answers before the deadline; a request that it has lost must not hang.
+    InFlightRequest* const request = requests_.find(id);
+    if (request == nullptr || request->answered) return;
+    LogLine(LogLevel::error, "no_decision_by_deadline").with("request", id).with("trace", request->trace_id);
+    give_up(id, *request);
+}
+
+void RequestHandler::fail_unanswered() {
+    for (const decision::RequestId id : requests_.unanswered()) {
+        InFlightRequest* const request = requests_.find(id);
+        if (request != nullptr && !request->answered) give_up(id, *request);
+    }
+}
+
+void RequestHandler::give_up(decision::RequestId id, InFlightRequest& request) {
+    answer(id, request, make_answer(http::status::gateway_timeout));
+    dispatcher_.dispatch(decision::ClientDisconnected{id});
+}
+
+}  // namespace gateway::server
--- a/src/server/upgrade.cpp
+++ b/src/server/upgrade.cpp
@@ -10,145 +10,167 @@
 using namespace std::chrono_literals;
 
 namespace {
-const std::string version = "spartrack 1";
-// A former process that does not answer, or does not leave, for this long is passed over: the new one has to
-// serve within some seconds of its start.
-constexpr auto greeting_most = 500ms, leaving_most = 1500ms;
+// The protocol version, which each side sends first. It stays letter for letter, although the name is no
+// longer that of the program, because processes of earlier releases have to accept it.
+const std::string protocol_greeting = "spartrack 1";
+// A predecessor that does not greet, or does not hand over, within this time is skipped, because the new
+// process has to serve within some seconds of its start.
+constexpr auto greeting_timeout = 500ms;
+constexpr auto takeover_timeout = 1500ms;
 }  // namespace
 
 Upgrade::Upgrade(boost::asio::io_context& io, HandoverPlace&& place, Callbacks callbacks)
-    : patience_(io), place_(std::move(place)), callbacks_(std::move(callbacks)) {}
+    : timeout_(io), place_(std::move(place)), callbacks_(std::move(callbacks)) {}
+
 Upgrade::~Upgrade() {
-    if (former_) former_->close();
-    if (next_) next_->close();
+    if (predecessor_) predecessor_->close();
+    if (successor_) successor_->close();
 }
 
+// ---- as the successor ----
+
 bool Upgrade::begin() {
-    former_ = place_.find();
-    if (!former_) {
-        served_ = true;
-        wait_for_next();
+    predecessor_ = place_.find();
+    if (!predecessor_) {
+        stage_ = Stage::serving;
+        listen_for_successor();
         return false;
     }
-    former_->start({[this](HandoverMessage&& message) { on_former(std::move(message)); },
-                    [this] {
-                        former_.reset();
-                        if (!served_) alone("it ended");
-                        else if (callbacks_.former_ended) callbacks_.former_ended();
-                    }});
-    former_->send(Kind::hello, version);
-    patience_.expires_after(greeting_most);
-    patience_.async_wait([this](error_code stopped) {
-        if (!stopped && !greeted_) alone("it does not answer");
+    predecessor_->start({[this](HandoverMessage&& message) { on_predecessor_message(std::move(message)); },
+                         [this] { on_predecessor_closed(); }});
+    predecessor_->send(Kind::hello, protocol_greeting);
+    timeout_.expires_after(greeting_timeout);
+    timeout_.async_wait([this](error_code cancelled) {
+        if (!cancelled && stage_ == Stage::awaiting_greeting) serve_without_takeover("it does not answer");
     });
     return true;
 }
-void Upgrade::ready() {
-    ready_ = true;
-    ask();
+
+void Upgrade::on_predecessor_closed() {
+    predecessor_.reset();
+    if (stage_ != Stage::serving) serve_without_takeover("it ended");
+    else if (callbacks_.on_predecessor_ended) callbacks_.on_predecessor_ended();
+}
+
+void Upgrade::ready_to_serve() {
+    ready_to_serve_ = true;
+    request_takeover();
 }
-void Upgrade::ask() {
-    if (!greeted_ || !ready_ || served_ || std::exchange(asked_, true)) return;
-    former_->send(Kind::take);
-    patience_.expires_after(leaving_most);
-    patience_.async_wait([this](error_code stopped) {
-        if (!stopped && !served_) alone("it leaves nothing");
+
+void Upgrade::request_takeover() {
+    if (stage_ != Stage::greeted || !ready_to_serve_) return;
+    stage_ = Stage::takeover_requested;
+    predecessor_->send(Kind::take);
+    timeout_.expires_after(takeover_timeout);
+    timeout_.async_wait([this](error_code cancelled) {
+        if (!cancelled && stage_ != Stage::serving) serve_without_takeover("it leaves nothing");
     });
 }
-void Upgrade::alone(const char* why) {
-    if (std::exchange(served_, true)) return;
-    LogLine(LogLevel::warning, "upgrade_former_passed_over").with("cause", why);
-    patience_.cancel();
-    if (former_) former_->close();
-    former_.reset();
-    callbacks_.serve_alone();
-    wait_for_next();
+
+void Upgrade::serve_without_takeover(const char* reason) {
+    if (stage_ == Stage::serving) return;
+    stage_ = Stage::serving;
+    LogLine(LogLevel::warning, "upgrade_former_passed_over").with("cause", reason);
+    timeout_.cancel();
+    if (predecessor_) predecessor_->close();
+    predecessor_.reset();
+    callbacks_.on_no_takeover();
+    listen_for_successor();
 }
 
-void Upgrade::on_former(HandoverMessage&& message) {
+void Upgrade::on_predecessor_message(HandoverMessage&& message) {
     switch (message.kind) {
         case Kind::hello:
-            if (message.text != version) return alone("it is of another version");
-            greeted_ = true;
-            return ask();
+            if (message.text != protocol_greeting) return serve_without_takeover("it is of another version");
+            if (stage_ == Stage::awaiting_greeting) stage_ = Stage::greeted;
+            return request_takeover();
         case Kind::listener:
-            coming_.listener = std::move(message.descriptor);
+            inherited_.client_listener = std::move(message.descriptor);
             return;
         case Kind::peers:
-            coming_.peers = std::move(message.descriptor);
+            inherited_.peer_socket = std::move(message.descriptor);
             return;
         case Kind::state:
-            coming_.state += message.text;
+            inherited_.snapshot += message.text;
             return;
         case Kind::done:
-            if (served_) return;
-            if (!coming_.listener) return alone("it has left no listener");
-            served_ = true;
-            patience_.cancel();
-            coming_.sockets_kept = std::strtoul(message.text.c_str(), nullptr, 10);
-            callbacks_.take_over(std::move(coming_));
-            return wait_for_next();
+            return on_handover_complete(message);
         case Kind::client:
         case Kind::host:
-            if (served_ && message.descriptor) callbacks_.adopt(std::move(message));
+            if (stage_ == Stage::serving && message.descriptor) callbacks_.on_connection(std::move(message));
             return;
         case Kind::ban:
         case Kind::put_back:
         case Kind::stand_by:
         case Kind::activate:
         case Kind::named:
-            if (served_) callbacks_.told(std::move(message));
-            else coming_.facts.push_back(std::move(message));
+            if (stage_ == Stage::serving) callbacks_.on_notification(std::move(message));
+            else inherited_.notifications.push_back(std::move(message));
             return;
         case Kind::take:
             return;
     }
 }
 
-// One that comes later takes the place of one that has come and not taken over.
-void Upgrade::wait_for_next() {
-    place_.wait([this](std::shared_ptr<HandoverChannel> comer) {
-        if (left_) return;
-        if (next_) next_->close();
-        next_ = std::move(comer);
-        next_greeted_ = false;
-        next_->start(
-            {[this](HandoverMessage&& message) { on_next(std::move(message)); }, [this] { end_next(); }});
+void Upgrade::on_handover_complete(const HandoverMessage& message) {
+    if (stage_ == Stage::serving) return;
+    if (!inherited_.client_listener) return serve_without_takeover("it has left no listener");
+    stage_ = Stage::serving;
+    timeout_.cancel();
+    inherited_.sockets_kept = std::strtoul(message.text.c_str(), nullptr, 10);
+    callbacks_.on_taken_over(std::move(inherited_));
+    listen_for_successor();
+}
+
+// ---- as the predecessor ----
+
+// A later successor replaces one that has connected and not taken over.
+void Upgrade::listen_for_successor() {
+    place_.wait([this](std::shared_ptr<HandoverChannel> successor) {
+        if (handed_over_) return;
+        if (successor_) successor_->close();
+        successor_ = std::move(successor);
+        successor_greeted_ = false;
+        successor_->start({[this](HandoverMessage&& message) { on_successor_message(std::move(message)); },
+                           [this] { on_successor_closed(); }});
     });
 }
-void Upgrade::on_next(HandoverMessage&& message) {
+
+void Upgrade::on_successor_message(HandoverMessage&& message) {
     switch (message.kind) {
         case Kind::hello:
-            next_->send(Kind::hello, version);
-            next_greeted_ = message.text == version;
+            successor_->send(Kind::hello, protocol_greeting);
+            successor_greeted_ = message.text == protocol_greeting;
             return;
         case Kind::take:
-            if (!next_greeted_ || std::exchange(left_, true)) return;
-            return callbacks_.leave(*next_);
+            if (!successor_greeted_ || std::exchange(handed_over_, true)) return;
+            return callbacks_.on_hand_over(*successor_);
         case Kind::ban:
         case Kind::put_back:
         case Kind::stand_by:
         case Kind::activate:
-            if (next_greeted_) callbacks_.told(std::move(message));
+            if (successor_greeted_) callbacks_.on_notification(std::move(message));
             return;
         default:
             return;
     }
 }
-void Upgrade::end_next() {
-    std::deque<HandoverMessage> unsent = next_->take_unsent();
-    next_.reset();
-    if (!std::exchange(left_, false)) return;
+
+void Upgrade::on_successor_closed() {
+    std::deque<HandoverMessage> unsent = successor_->take_unsent();
+    successor_.reset();
+    if (!std::exchange(handed_over_, false)) return;
     LogLine(LogLevel::warning, "upgrade_taken_back").with("cause", "the next process has ended");
-    callbacks_.take_back();
+    callbacks_.on_successor_lost();
     for (HandoverMessage& message : unsent)
-        if (message.kind == Kind::client || message.kind == Kind::host) callbacks_.adopt(std::move(message));
-    wait_for_next();
+        if (message.kind == Kind::client || message.kind == Kind::host)
+            callbacks_.on_connection(std::move(message));
+    listen_for_successor();
 }
 
-void Upgrade::tell(Kind kind, const std::string& text) {
-    if (former_) former_->send(kind, text);
-    if (next_) next_->send(kind, text);
+void Upgrade::notify(Kind kind, const std::string& payload) {
+    if (predecessor_) predecessor_->send(kind, payload);
+    if (successor_) successor_->send(kind, payload);
 }
 
 }  // namespace gateway::server
--- a/src/server/upgrade.h
+++ b/src/server/upgrade.h
@@ -1,4 +1,4 @@
-// Either side of an upgrade: the process that takes over, and the one that leaves everything to it.
+// The protocol of an upgrade: the successor process takes the sockets and state of its predecessor over.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,57 +12,77 @@
 
 namespace gateway::server {
 
+// Either side of an upgrade. A process is first the successor of one that serves, if there is one, and later
+// the predecessor of the one that replaces it.
 class Upgrade {
   public:
-    // What the former process leaves, but for the connections, which follow one by one.
-    struct Left {
-        Descriptor listener, peers;
-        std::vector<HandoverMessage> facts;  // bans, standby, hosts named
-        std::string state;                   // of the module
-        std::size_t sockets_kept = 0;
+    // What a predecessor leaves before the connections, which follow one by one.
+    struct InheritedState {
+        Descriptor client_listener;
+        Descriptor peer_socket;
+        std::vector<HandoverMessage> notifications;  // bans, standby, known host names
+        std::string snapshot;                        // of the decision module
+        std::size_t sockets_kept = 0;                // that the predecessor still needs
     };
     struct Callbacks {
-        std::function<void(Left&&)> take_over;
-        std::function<void()>
-            serve_alone;  // nothing comes of the former process: bind and start from nothing
-        std::function<void(HandoverMessage&&)> adopt;  // a connection
-        std::function<void()> former_ended;
-        std::function<void(HandoverChannel&)> leave;  // to say all that Left holds, then the connections
-        std::function<void()> take_back;  // the next process has ended before this one; what had not
-                                          // been sent to it follows by `adopt`
-        std::function<void(HandoverMessage&&)> told;  // a fact, by the other process
+        // As the successor: the predecessor has handed over; serve from now on.
+        std::function<void(InheritedState&&)> on_taken_over;
+        // As the successor: the predecessor hands nothing over; bind the addresses and start without state.
+        std::function<void()> on_no_takeover;
+        // A connection of a client or to a host: from the predecessor, or one that could not be sent to a
+        // successor that has ended.
+        std::function<void(HandoverMessage&&)> on_connection;
+        // As the successor: the predecessor has ended after it handed over.
+        std::function<void()> on_predecessor_ended;
+        // As the predecessor: send all that InheritedState holds, then the connections.
+        std::function<void(HandoverChannel&)> on_hand_over;
+        // As the predecessor: the successor has ended before this process; serve again.
+        std::function<void()> on_successor_lost;
+        // The other process notifies of a ban, standby or host name.
+        std::function<void(HandoverMessage&&)> on_notification;
     };
     Upgrade(boost::asio::io_context& io, HandoverPlace&& place, Callbacks callbacks);
     ~Upgrade();
     Upgrade(const Upgrade&) = delete;
     Upgrade& operator=(const Upgrade&) = delete;
 
-    // True: a former process is there, and `take_over` or `serve_alone` follows. False: serve alone, now.
-    bool begin();
-    // From now on this process could serve.
-    void ready();
-    // Operators have said something here that holds for both.
-    void tell(HandoverMessage::Kind kind, const std::string& text = {});
-    bool waiting() const { return former_ && !served_; }
-    bool left() const { return left_; }
-    // Something is on its way to the next process still.
-    bool delivering() const { return next_ && next_->has_unsent(); }
+    // True: there is a predecessor, and `on_taken_over` or `on_no_takeover` follows. False: there is none,
+    // and this process has to serve at once.
+    [[nodiscard]] bool begin();
+    // This process is able to serve from now on; the predecessor is asked to hand over.
+    void ready_to_serve();
+    // Tells the other process, if there is one, what operators have called for here.
+    void notify(HandoverMessage::Kind kind, const std::string& payload = {});
+    // Whether the handover from a predecessor is still to come.
+    [[nodiscard]] bool is_waiting_for_predecessor() const noexcept {
+        return predecessor_ && stage_ != Stage::serving;
+    }
+    // Whether messages to the successor are still to be sent.
+    [[nodiscard]] bool is_delivering() const noexcept { return successor_ && successor_->has_unsent(); }
 
   private:
-    void on_former(HandoverMessage&& message);
-    void on_next(HandoverMessage&& message);
-    void ask();
-    void alone(const char* why);
-    void wait_for_next();
-    void end_next();
+    // Towards the predecessor.
+    enum class Stage { awaiting_greeting, greeted, takeover_requested, serving };
 
-    boost::asio::steady_timer patience_;
+    void on_predecessor_message(HandoverMessage&& message);
+    void on_predecessor_closed();
+    void on_successor_message(HandoverMessage&& message);
+    void on_successor_closed();
+    void request_takeover();
+    void on_handover_complete(const HandoverMessage& message);
+    void serve_without_takeover(const char* reason);
+    void listen_for_successor();
+
+    boost::asio::steady_timer timeout_;  // of the predecessor's next step
     HandoverPlace place_;
     Callbacks callbacks_;
-    std::shared_ptr<HandoverChannel> former_, next_;
-    Left coming_;
-    bool greeted_ = false, ready_ = false, asked_ = false, served_ = false, left_ = false,
-         next_greeted_ = false;
+    std::shared_ptr<HandoverChannel> predecessor_;
+    std::shared_ptr<HandoverChannel> successor_;
+    InheritedState inherited_;  // until it is complete
+    Stage stage_ = Stage::awaiting_greeting;
+    bool ready_to_serve_ = false;
+    bool successor_greeted_ = false;  // with this process's protocol version
+    bool handed_over_ = false;
 };
 
 }  // namespace gateway::server
--- /dev/null
+++ b/src/server/upgrade_coordinator.cpp
@@ -0,0 +1,149 @@
+#include "upgrade_coordinator.h"
+
+#include <fcntl.h>
+
+#include <algorithm>
+#include <cstdio>
+#include <cstdlib>
+#include <string_view>
+#include <utility>
+
+namespace gateway::server {
+using Kind = HandoverMessage::Kind;
+
+namespace {
+constexpr std::size_t snapshot_chunk_bytes = 32 * 1024;
+// What the predecessor may still open for further attempts, beyond the sockets in use.
+constexpr std::size_t sockets_for_further_attempts = 16;
+
+// The same for each process of one gateway, and for no other gateway's. std::hash stays, because processes of
+// earlier releases look for the name that it gives.
+std::string handover_name(const Config& config) {
+    const std::string identity =
+        config.name + ' ' + config.listen.address().to_string() + ' ' + std::to_string(config.listen.port());
+    char text[24];
+    std::snprintf(text, sizeof text, "%016llx",
+                  static_cast<unsigned long long>(std::hash<std::string>{}(identity)));
+    return text;
+}
+}  // namespace
+
+UpgradeCoordinator::UpgradeCoordinator(boost::asio::io_context& io, const Dependencies& dependencies)
+    : budget_(dependencies.budget),
+      total_sockets_(dependencies.budget.most()),
+      dispatcher_(dependencies.dispatcher),
+      hosts_(dependencies.hosts),
+      pool_(dependencies.pool),
+      listeners_(dependencies.listeners),
+      upgrade_(io, HandoverPlace(io, dependencies.config.handover_folder, handover_name(dependencies.config)),
+               make_callbacks()) {}
+
+Upgrade::Callbacks UpgradeCoordinator::make_callbacks() {
+    Upgrade::Callbacks callbacks;
+    callbacks.on_taken_over = [this](Upgrade::InheritedState&& inherited) { serve(std::move(inherited)); };
+    callbacks.on_no_takeover = [this] { serve({}); };
+    callbacks.on_connection = [this](HandoverMessage&& message) { adopt_connection(std::move(message)); };
+    callbacks.on_predecessor_ended = [this] { budget_.set_most(total_sockets_); };
+    callbacks.on_hand_over = [this](HandoverChannel& successor) { hand_over(successor); };
+    callbacks.on_successor_lost = [this] { resume_serving(); };
+    callbacks.on_notification = [this](HandoverMessage&& message) { apply_notification(message); };
+    return callbacks;
+}
+
+void UpgradeCoordinator::begin() {
+    if (!upgrade_.begin()) serve({});
+}
+
+void UpgradeCoordinator::ready_to_serve() {
+    if (upgrade_.is_waiting_for_predecessor()) upgrade_.ready_to_serve();
+}
+
+void UpgradeCoordinator::serve(Upgrade::InheritedState&& inherited) {
+    if (inherited.sockets_kept > 0)
+        budget_.set_most(total_sockets_ - std::min(inherited.sockets_kept, total_sockets_ / 2));
+    for (const HandoverMessage& notification : inherited.notifications) apply_notification(notification);
+    if (!inherited.snapshot.empty())
+        dispatcher_.dispatch(decision::RestoreSnapshot{std::move(inherited.snapshot)});
+    listeners_.open(std::move(inherited.client_listener), std::move(inherited.peer_socket));
+}
+
+// Everything in one step: no request is received in between, so that none is decided on by both processes.
+void UpgradeCoordinator::hand_over(HandoverChannel& successor) {
+    dispatcher_.dispatch(decision::HandedOver{true});
+    const std::size_t sockets_kept =
+        listeners_.clients()->held_up() + pool_.busy() + sockets_for_further_attempts;
+    send_state(successor, sockets_kept);
+    send_connections(successor);
+    budget_.set_most(sockets_kept);
+    std::string().swap(snapshot_);
+}
+
+void UpgradeCoordinator::send_state(HandoverChannel& successor, std::size_t sockets_kept) {
+    successor.send(Kind::listener, {}, listeners_.clients()->share_listener());
+    if (PeerLink* const peers = listeners_.peers()) {
+        peers->listen(false);
+        successor.send(Kind::peers, {}, Descriptor(::fcntl(peers->native_handle(), F_DUPFD_CLOEXEC, 0)));
+    }
+    for (std::size_t offset = 0; offset < snapshot_.size(); offset += snapshot_chunk_bytes)
+        successor.send(Kind::state, snapshot_.substr(offset, snapshot_chunk_bytes));
+    for (const std::string& uid : hosts_.known_names().all()) successor.send(Kind::named, uid);
+    for (const std::string& uid : pool_.banned()) successor.send(Kind::ban, uid);
+    if (listeners_.standby()) successor.send(Kind::stand_by);
+    successor.send(Kind::done, std::to_string(sockets_kept));
+}
+
+void UpgradeCoordinator::send_connections(HandoverChannel& successor) {
+    // Connections of clients follow as their requests end, when the channel may have been closed.
+    const auto channel = successor.shared_from_this();
+    listeners_.clients()->hand_over([channel](Descriptor&& socket, std::string&& unread, bool first) {
+        channel->send(Kind::client, (first ? '1' : '0') + std::move(unread), std::move(socket));
+    });
+    pool_.hand_over([&successor](Descriptor&& socket, const std::string& uid, Micros idle_for) {
+        successor.send(Kind::host, std::to_string(idle_for.count()) + ' ' + uid, std::move(socket));
+    });
+}
+
+// Also while this process drains, because no other process serves what arrives meanwhile.
+void UpgradeCoordinator::resume_serving() {
+    budget_.set_most(total_sockets_);
+    dispatcher_.dispatch(decision::HandedOver{false});
+    if (PeerLink* const peers = listeners_.peers()) peers->listen(true);
+    listeners_.clients()->take_back();
+}
+
+void UpgradeCoordinator::adopt_connection(HandoverMessage&& connection) {
+    if (connection.kind == Kind::client) {
+        const std::string_view text = connection.text;
+        const std::string_view first_flag = text.substr(0, 1);
+        const std::string_view unread = text.substr(std::min<std::size_t>(1, text.size()));
+        listeners_.clients()->adopt(std::move(connection.descriptor), unread, first_flag == "1");
+        return;
+    }
+    const std::size_t space = connection.text.find(' ');
+    if (space == std::string::npos) return;
+    const Micros idle_for(std::strtoll(connection.text.c_str(), nullptr, 10));
+    pool_.adopt(std::move(connection.descriptor), connection.text.substr(space + 1), idle_for);
+}
+
+void UpgradeCoordinator::apply_notification(const HandoverMessage& notification) {
+    switch (notification.kind) {
+        case Kind::ban:
+        case Kind::put_back:
+            return hosts_.set_banned(notification.text, notification.kind == Kind::ban);
+        case Kind::stand_by:
+        case Kind::activate:
+            return listeners_.set_standby(notification.kind == Kind::stand_by);
+        default:
+            hosts_.add_known_name(notification.text);
+    }
+}
+
+void UpgradeCoordinator::notify_ban(const std::string& uid, bool banned) {
+    upgrade_.notify(banned ? Kind::ban : Kind::put_back, uid);
+}
+
+void UpgradeCoordinator::notify_standby(bool standby) {
+    upgrade_.notify(standby ? Kind::stand_by : Kind::activate);
+}
+
+}  // namespace gateway::server
