--- /dev/null
+++ b/tests/server/config_test.cpp
@@ -0,0 +1,57 @@
+#include "config.h"
+
+#include <gtest/gtest.h>
+
+namespace gateway::server::test {
+namespace {
+
+TEST(Config, NamesTheKeyAndWhatWasExpected) {
+    const auto none = [](const char*) -> const char* { return nullptr; };
+    const auto complaint = [&](const std::string& text) -> std::string {
+        try {
+            parse_config(text, none);
+        } catch (const ConfigError& error) {
+            return error.what();
+        }
+        return "";
+    };
+    EXPECT_EQ(complaint("{"), "config: malformed: expected one JSON object");
+    EXPECT_NE(complaint("{}").find("name is missing"), std::string::npos);
+    EXPECT_NE(complaint(R"({"name":"n","listen":"nowhere"})").find("listen: expected an address"),
+              std::string::npos);
+    EXPECT_NE(complaint(R"({"name":"n","listen":"127.0.0.1:99999"})").find("listen: expected"),
+              std::string::npos);
+    EXPECT_NE(complaint(R"({"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2"})").find("settings"),
+              std::string::npos);
+    EXPECT_NE(
+        complaint(R"({"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{"sockets":3}})")
+            .find("limits.sockets"),
+        std::string::npos);
+    EXPECT_NE(complaint(R"({"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"xyz"})")
+                  .find("seed"),
+              std::string::npos);
+    EXPECT_THROW(load_config(none), ConfigError);
+    EXPECT_THROW(load_config([](const char*) { return "/nowhere/at/all"; }), ConfigError);
+}
+
+TEST(Config, TheEnvironmentStandsInForWhatTheFileLeavesOut) {
+    const Config c = parse_config(
+        R"({"seed":"8c1f30d27a5be964","limits":{"sockets":500},"peers":["127.0.0.1:5"],"settings":{"rank":0,)"
+        R"("instances":1,"requestClasses":[],"guarantees":{},"ceilings":{"connIdleUs":7000000,)"
+        R"("connectTimeoutUs":90000}}})",
+        [](const char* name) -> const char* {
+            return std::string_view(name) == "BALANCER_NAME"     ? "n3"
+                   : std::string_view(name) == "BALANCER_LISTEN" ? "127.0.0.4:8080"
+                                                                 : "127.2.0.1:8500";
+        });
+    EXPECT_EQ(c.name, "n3");
+    EXPECT_EQ(c.listen.port(), 8080);
+    EXPECT_EQ(c.discovery.port(), 8500);
+    EXPECT_EQ(c.seed, 0x8c1f30d27a5be964u);
+    EXPECT_EQ(c.sockets, 500u);
+    EXPECT_EQ(c.idle_limit, std::chrono::seconds(7));
+    EXPECT_EQ(c.connect_timeout, std::chrono::milliseconds(90));
+}
+
+}  // namespace
+}  // namespace gateway::server::test
--- a/tests/server/watch_test.cpp
+++ b/tests/server/discovery_test.cpp
@@ -1,10 +1,6 @@
-// What comes from beside clients and hosts: configuration, the watch, peers.
-#include "config.h"
 #include "discovery.h"
-#include "known_names.h"
+
 #include "loopback.h"
-#include "peer_link.h"
-#include "runtime.h"
 
 namespace gateway::server::test {
 namespace {
@@ -149,9 +145,9 @@
     EXPECT_EQ(agent.targets[0], "/catalog/members");
     EXPECT_EQ(agent.targets[1].substr(0, 24), "/catalog/members?from=7&");  // not the same call again
     EXPECT_EQ(work.size(), 2u);
-    const WatchPace pace = Discovery::pace_among(6, false);
+    const WatchPace timing = Discovery::pace_among(6, false);
     // News count as told 6 s after discovery had them and could be reached, whatever failed before.
-    EXPECT_LT(pace.pause_most + pace.patience_most, 6s);
+    EXPECT_LT(timing.pause_most + timing.patience_most, 6s);
 }
 
 // Found on the large days: 300 gateways waited for 1.5 to 3 s after a silent watch and for up to 2 s between
@@ -165,10 +161,10 @@
         else if (at.size() == 5) p.close();
     });
     std::vector<EndpointList> lists;
-    WatchPace pace = Discovery::pace_among(300, true);
-    pace.hold = 20ms;
+    WatchPace timing = Discovery::pace_among(300, true);
+    timing.hold = 20ms;
     Discovery watch(
-        io, agent.endpoint(), [&](const EndpointList& l) { lists.push_back(l); }, pace, 5);
+        io, agent.endpoint(), [&](const EndpointList& l) { lists.push_back(l); }, timing, 5);
     ASSERT_TRUE(run_until(io, [&] { return at.size() == 7; }));
     EXPECT_LT(at[4] - at[1], 3s);      // silent: three times its patience
     EXPECT_LT(at[5] - at[4], 1400ms);  // closed
@@ -195,29 +191,6 @@
     EXPECT_EQ(agent.targets[2], "/catalog/members?from=7&hold_ms=50");
 }
 
-// 55,000 hosts replaced a day would end in the memory limit.
-TEST(KnownNames, AreForgottenSomeTimeAfterTheirHostsAreGone) {
-    const auto to_string = [](int host) { return std::string("h").append(std::to_string(host)); };
-    KnownNames names(10min);
-    Steady::time_point now{};
-    std::size_t most = 0;
-    for (int host = 0; host < 10000; ++host, now += 1s) {
-        names.listed(to_string(host));
-        if (host > 0) names.gone(to_string(host - 1), now);
-        names.forget_old(now, {"h7"});
-        most = std::max(most, names.size());
-    }
-    EXPECT_LE(most, 602u);
-    EXPECT_TRUE(names.contains("h9999"));
-    EXPECT_TRUE(names.contains("h9900"));
-    EXPECT_FALSE(names.contains("h100"));
-    EXPECT_TRUE(names.contains("h7")) << "banned";
-    names.only({"h3"}, now);
-    names.listed("h3");
-    names.forget_old(now + 10min, {});
-    EXPECT_EQ(names.all(), std::vector<std::string>{"h3"});
-}
-
 // A list over 1 MB, of 6,500 hosts, was never taken.
 TEST(Discovery, TakesTheListOfALargeFleet) {
     asio::io_context io;
@@ -265,105 +238,5 @@
     ASSERT_TRUE(run_until(io, [&] { return taken; }));
 }
 
-TEST(PeerLink, KnowsSendersByAddressAndDropsOthers) {
-    asio::io_context io;
-    using Udp = asio::ip::udp;
-    const Udp::endpoint loopback(asio::ip::address_v4::loopback(), 0);
-    Udp::socket other(io, loopback), stranger(io, loopback), everyone(io, loopback);
-    std::vector<std::pair<int, std::string>> heard;
-    // The own place in the list is never a sender.
-    PeerLink link(io, loopback, {{asio::ip::address_v4::loopback(), 9}, other.local_endpoint()},
-                  everyone.local_endpoint(), 0,
-                  [&](int from, std::string_view bytes) { heard.emplace_back(from, bytes); });
-    stranger.send_to(asio::buffer("stranger", 8), link.local_endpoint());
-    other.send_to(asio::buffer(std::string(257, 'x')), link.local_endpoint());
-    other.send_to(asio::buffer("hi", 2), link.local_endpoint());
-    ASSERT_TRUE(run_until(io, [&] { return !heard.empty(); }));
-    ASSERT_EQ(heard.size(), 1u);
-    EXPECT_EQ(heard[0], std::make_pair(1, std::string("hi")));
-
-    std::array<char, 512> bytes{};
-    Udp::endpoint from;
-    link.send(1, std::string(257, 'y'));  // too long: not sent
-    link.send(1, "one");
-    EXPECT_EQ(other.receive_from(asio::buffer(bytes), from), 3u);
-    EXPECT_EQ(from, link.local_endpoint());
-    link.send(-1, "all");
-    EXPECT_EQ(everyone.receive_from(asio::buffer(bytes), from), 3u);
-}
-
-TEST(Config, NamesTheKeyAndWhatWasExpected) {
-    const auto none = [](const char*) -> const char* { return nullptr; };
-    const auto complaint = [&](const std::string& text) -> std::string {
-        try {
-            parse_config(text, none);
-        } catch (const ConfigError& error) {
-            return error.what();
-        }
-        return "";
-    };
-    EXPECT_EQ(complaint("{"), "config: malformed: expected one JSON object");
-    EXPECT_NE(complaint("{}").find("name is missing"), std::string::npos);
-    EXPECT_NE(complaint(R"({"name":"n","listen":"nowhere"})").find("listen: expected an address"),
-              std::string::npos);
-    EXPECT_NE(complaint(R"({"name":"n","listen":"127.0.0.1:99999"})").find("listen: expected"),
-              std::string::npos);
-    EXPECT_NE(complaint(R"({"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2"})").find("settings"),
-              std::string::npos);
-    EXPECT_NE(
-        complaint(R"({"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{"sockets":3}})")
-            .find("limits.sockets"),
-        std::string::npos);
-    EXPECT_NE(complaint(R"({"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"xyz"})")
-                  .find("seed"),
-              std::string::npos);
-    EXPECT_THROW(load_config(none), ConfigError);
-    EXPECT_THROW(load_config([](const char*) { return "/nowhere/at/all"; }), ConfigError);
-}
-
-TEST(Config, TheEnvironmentStandsInForWhatTheFileLeavesOut) {
-    const Config c = parse_config(
-        R"({"seed":"8c1f30d27a5be964","limits":{"sockets":500},"peers":["127.0.0.1:5"],"settings":{"rank":0,)"
-        R"("instances":1,"requestClasses":[],"guarantees":{},"ceilings":{"connIdleUs":7000000,)"
-        R"("connectTimeoutUs":90000}}})",
-        [](const char* name) -> const char* {
-            return std::string_view(name) == "BALANCER_NAME"     ? "n3"
-                   : std::string_view(name) == "BALANCER_LISTEN" ? "127.0.0.4:8080"
-                                                                 : "127.2.0.1:8500";
-        });
-    EXPECT_EQ(c.name, "n3");
-    EXPECT_EQ(c.listen.port(), 8080);
-    EXPECT_EQ(c.discovery.port(), 8500);
-    EXPECT_EQ(c.seed, 0x8c1f30d27a5be964u);
-    EXPECT_EQ(c.sockets, 500u);
-    EXPECT_EQ(c.idle_limit, std::chrono::seconds(7));
-    EXPECT_EQ(c.connect_timeout, std::chrono::milliseconds(90));
-}
-
-TEST(LoadReport, TakesWhatItCanReadAndLeavesOutTheRest) {
-    // Both in the settings' names, as hosts write them, and in the protocol's example.
-    for (const char* text :
-         {"TEXT backlog=2, utilization=0.61, outstanding=7", "TEXT inflight=7, queue=2, util=0.61"}) {
-        const auto all = read_load_report(text);
-        EXPECT_EQ(all.outstanding, 7) << text;
-        EXPECT_EQ(all.queued, 2) << text;
-        EXPECT_EQ(all.utilization, 0.61) << text;
-    }
-    const auto some = read_load_report("inflight=x, queue=-1,,util, =, new=3, util=0.5");
-    EXPECT_EQ(some.outstanding, -1);
-    EXPECT_EQ(some.queued, -1);
-    EXPECT_EQ(some.utilization, 0.5);
-    EXPECT_EQ(read_load_report("").queued, -1);
-}
-
-TEST(Clock, IsUnixTimeThatNeverGoesBack) {
-    const Clock clock;
-    const auto unix_now =
-        std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
-    EXPECT_LT(std::chrono::abs(clock.now() - unix_now), std::chrono::minutes(1));
-    const Micros before = clock.now();
-    EXPECT_GE(clock.now(), before);
-}
-
 }  // namespace
 }  // namespace gateway::server::test
