--- a/src/server/client_server.cpp
+++ b/src/server/client_server.cpp
@@ -325,7 +325,7 @@
             taken_up_ = false;
             parser_->eager(true);
             parser_->header_limit(most_header);
-            parser_->body_limit(most_body);
+            parser_->body_limit(max_buffered_body_bytes);
             // The first request's time runs from the connect: bytes that drip in give no more of it.
             if (!first_) expect(header_most);
         }
@@ -341,8 +341,9 @@
             return fail(http::status::payload_too_large, "body too large"), true;
         if (ec) return fail(http::status::bad_request, "malformed request"), true;
         if (in_header && parser_->is_header_done()) {
-            if (!fits(*parser_)) return fail(http::status::payload_too_large, "body too large"), true;
-            if (!frames_clearly(parser_->get().base()))
+            if (!length_within_limit(*parser_))
+                return fail(http::status::payload_too_large, "body too large"), true;
+            if (!has_unambiguous_length(parser_->get().base()))
                 return fail(http::status::bad_request, "unclear length"), true;
             if (!find_room()) return fail(http::status::service_unavailable, "no room for the body"), true;
         }
@@ -361,7 +362,7 @@
     bool find_room() {
         const auto length = parser_->content_length();
         const std::size_t bytes = length               ? static_cast<std::size_t>(*length)
-                                  : parser_->chunked() ? most_body
+                                  : parser_->chunked() ? max_buffered_body_bytes
                                                        : 0;
         if (bytes <= small_body) return true;
         room_ = server_.bodies_.take(bytes);
--- /dev/null
+++ b/src/server/host_connection.cpp
@@ -0,0 +1,349 @@
+#include "host_connection.h"
+
+#include <algorithm>
+#include <array>
+#include <cerrno>
+#include <string_view>
+#include <utility>
+
+#include "containment.h"
+#include "log.h"
+#include "socket_write.h"
+
+namespace gateway::server {
+namespace asio = boost::asio;
+using asio::ip::tcp;
+using boost::system::error_code;
+using namespace std::chrono_literals;
+
+namespace {
+constexpr std::chrono::milliseconds connect_retry_backoff = 10ms;  // after a local failure
+// Neither side of a streamed response may make no progress for longer than this.
+constexpr std::chrono::milliseconds stall_timeout = 10s;
+// An idle connection keeps no request buffer larger than this.
+constexpr std::size_t max_idle_buffer_bytes = 4096;
+
+// Tells a host for how many milliseconds the gateway waits. The value is set as the request is written.
+constexpr std::string_view time_left_header = "X-Expires-In-Ms";
+
+// Whether a connect failed because of this machine, temporarily: that says nothing about the host.
+bool is_local_failure(error_code ec) {
+    constexpr std::array errors{EADDRNOTAVAIL, EAGAIN, EMFILE,   ENFILE,
+                                ENOBUFS,       ENOMEM, ENETDOWN, ENETUNREACH};
+    return ec.category() == boost::system::system_category() &&
+           std::find(errors.begin(), errors.end(), ec.value()) != errors.end();
+}
+
+std::chrono::microseconds elapsed_since(Steady::time_point start, Steady::time_point now) {
+    return std::chrono::duration_cast<std::chrono::microseconds>(now - start);
+}
+
+// Whether the host answered, as against an exchange that broke off.
+bool has_response(HostOutcome outcome) {
+    return outcome == HostOutcome::success || outcome == HostOutcome::rejected ||
+           outcome == HostOutcome::error;
+}
+
+HostOutcome outcome_of(const Answer& answer) {
+    const unsigned status = answer.result_int();
+    if (status == 200) return HostOutcome::success;
+    const bool not_executed = (status == 503 || status == 504) && answer["X-Never-Ran"] == "1";
+    return not_executed ? HostOutcome::rejected : HostOutcome::error;
+}
+}  // namespace
+
+HostConnection::HostConnection(asio::io_context& io, HostConnectionOwner& owner,
+                               std::shared_ptr<PooledHost> host, SocketBudget::Place&& place,
+                               std::chrono::microseconds connect_timeout)
+    : owner_(owner),
+      host_(std::move(host)),
+      endpoint_(host_->endpoint),
+      connect_timeout_(connect_timeout),
+      place_(std::move(place)),
+      socket_(io),
+      deadline_timer_(io),
+      connect_retry_timer_(io) {}
+
+bool HostConnection::silent() {
+    char byte = 0;
+    error_code ec;
+    socket_.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, ec);
+    return is_would_block(ec);
+}
+
+void HostConnection::send_attempt(const AttemptKey& key, Request& request,
+                                  std::chrono::microseconds timeout) {
+    request.set(boost::beast::string_view(time_left_header.data(), time_left_header.size()), "0");
+    serialize(request, request_buffer_);
+    is_health_check_ = false;
+    key_ = key;
+    start_exchange(request.method() == http::verb::head, timeout);
+}
+
+void HostConnection::send_health_check(std::chrono::microseconds timeout) {
+    request_buffer_ = "GET /_load HTTP/1.1\r\nHost: " + host_->uid + "\r\n\r\n";
+    is_health_check_ = true;
+    start_exchange(false, timeout);
+}
+
+void HostConnection::start_exchange(bool without_body, std::chrono::microseconds timeout) {
+    since_ = Steady::now();
+    deadline_ = since_ + timeout;
+    streaming_ = false;
+    awaiting_resume_ = false;
+    reader_.start(without_body);
+    if (state_ == State::idle) {
+        set_deadline(deadline_);
+        return write();
+    }
+    state_ = State::connecting;
+    set_deadline(std::min(deadline_, since_ + connect_timeout_));
+    connect();
+}
+
+void HostConnection::end_if_unsent(HostOutcome outcome) {
+    if (request_unsent()) finish_without_response(outcome);
+}
+
+void HostConnection::resume_reading() {
+    if (!std::exchange(awaiting_resume_, false) || state_ == State::closed) return;
+    set_deadline(Steady::now() + stall_timeout);
+    read();
+}
+
+bool HostConnection::adopt(Descriptor&& socket, std::chrono::microseconds idle_for) {
+    error_code ec;
+    socket_.assign(endpoint_.protocol(), socket.get(), ec);
+    if (ec) return false;
+    socket.release();
+    socket_.non_blocking(true, ec);
+    state_ = State::idle;
+    since_ = Steady::now() - idle_for;
+    read();
+    return true;
+}
+
+Descriptor HostConnection::release() {
+    state_ = State::closed;
+    owner_.on_closed(HostCloseReason::handed_over, host_->uid);
+    deadline_timer_.cancel();
+    error_code ec;
+    Descriptor socket(socket_.release(ec));
+    place_.give_back();
+    return socket;
+}
+
+void HostConnection::close(HostCloseReason reason) {
+    state_ = State::closed;
+    owner_.on_closed(reason, host_->uid);
+    deadline_timer_.cancel();
+    connect_retry_timer_.cancel();
+    error_code ec;
+    socket_.close(ec);
+    place_.give_back();
+}
+
+void HostConnection::connect() {
+    connect_failed_locally_ = false;
+    error_code ec;
+    socket_.open(endpoint_.protocol(), ec);
+    if (ec) return on_connect_failed(ec);
+    socket_.set_option(tcp::no_delay(true), ec);
+    socket_.non_blocking(true, ec);
+    socket_.async_connect(endpoint_, [self = shared_from_this()](error_code failed) {
+        if (self->state_ != State::connecting) return;
+        if (failed) return self->on_connect_failed(failed);
+        self->set_deadline(self->deadline_);
+        self->read();
+        self->write();
+    });
+}
+
+// A local failure is retried until the connect timeout.
+void HostConnection::on_connect_failed(error_code cause) {
+    if (!is_local_failure(cause)) return finish_without_response(HostOutcome::connect_failed);
+    LogLine(LogLevel::debug, "connect_failed_locally")
+        .with("host", host_->uid)
+        .with("error", cause.message());
+    connect_failed_locally_ = true;
+    error_code ec;
+    socket_.close(ec);
+    connect_retry_timer_.expires_after(connect_retry_backoff);
+    connect_retry_timer_.async_wait([self = shared_from_this()](error_code cancelled) {
+        if (!cancelled && self->state_ == State::connecting) self->connect();
+    });
+}
+
+void HostConnection::set_deadline(Steady::time_point when) {
+    deadline_timer_.expires_at(when);
+    if (when == Steady::time_point::max()) return;
+    deadline_timer_.async_wait([self = shared_from_this()](error_code cancelled) {
+        // The deadline may have been moved after the wait had ended and before this handler runs.
+        if (!cancelled && self->deadline_timer_.expiry() <= Steady::now()) self->on_deadline();
+    });
+}
+
+void HostConnection::on_deadline() {
+    if (state_ == State::connecting)
+        finish_without_response(connect_failed_locally_ ? HostOutcome::not_started
+                                                        : HostOutcome::connect_failed);
+    else if (state_ == State::writing || state_ == State::awaiting_response)
+        finish_without_response(HostOutcome::timeout);
+}
+
+void HostConnection::write(std::size_t written) {
+    state_ = State::writing;
+    if (written == 0) update_time_left_header();
+    error_code ec;
+    written += write_available(socket_, std::string_view(request_buffer_).substr(written), ec);
+    if (ec) return finish_without_response(HostOutcome::connect_failed);
+    if (written == request_buffer_.size()) {
+        state_ = State::awaiting_response;
+        return;
+    }
+    // Waits first and writes then: with the last byte the host may execute the request, and whatever ends the
+    // attempt from that moment on must find the state changed.
+    socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this(), written](error_code failed) {
+        if (self->state_ != State::writing) return;
+        if (failed) return self->finish_without_response(HostOutcome::connect_failed);
+        self->write(written);
+    });
+}
+
+// Puts the time left until the deadline into the request, because the connection may have come up long after
+// the attempt began.
+void HostConnection::update_time_left_header() {
+    const std::string line_start = std::string("\r\n").append(time_left_header).append(": ");
+    const std::string_view header =
+        std::string_view(request_buffer_).substr(0, request_buffer_.find("\r\n\r\n"));
+    const std::size_t line = header.find(line_start);
+    if (is_health_check_ || line == std::string::npos) return;
+    const std::size_t value = line + line_start.size();
+    const auto left = std::chrono::ceil<std::chrono::milliseconds>(deadline_ - Steady::now()).count();
+    request_buffer_.replace(value, request_buffer_.find("\r\n", value) - value,
+                            std::to_string(std::max<std::int64_t>(1, left)));
+}
+
+// Waits first and reads then: a read that is done while its handler has not run would hide bytes from
+// silent().
+void HostConnection::read() {
+    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code ec) {
+        if (self->state_ == State::closed) return;
+        contain(
+            "host", [&] { self->on_readable(ec); }, [&] { self->on_handler_error(); });
+    });
+}
+
+void HostConnection::on_readable(error_code ec) {
+    std::size_t bytes = 0;
+    if (!ec) bytes = socket_.read_some(reader_.prepare(streaming_), ec);
+    if (is_would_block(ec)) return read();
+    if (state_ == State::idle) return close_idle();  // its end, or bytes that nobody requested
+    const bool awaiting_response = state_ == State::awaiting_response;
+    if (ec == asio::error::eof && awaiting_response && reader_.finish_at_end_of_stream())
+        return finish_with_response();
+    if (ec)
+        return finish_without_response(awaiting_response ? HostOutcome::reset : HostOutcome::connect_failed);
+    reader_.commit(bytes);
+    const auto self = shared_from_this();
+    const HostResponseReader::Progress progress = reader_.parse();
+    if (progress == HostResponseReader::Progress::complete) finish_with_response();
+    // A malformed response is an error and not a failed connection: the host is up and may have executed the
+    // request. Guards against hosts that are skipped as if they were down for a malformed response now and
+    // then.
+    if (progress == HostResponseReader::Progress::malformed || !reader_.has_space())
+        return finish_without_response(request_unsent() ? HostOutcome::reset : HostOutcome::error);
+    if (state_ == State::closed || (reader_.active() && !stream_response())) return;
+    read();
+}
+
+void HostConnection::on_handler_error() {
+    if (state_ == State::idle) return close_idle();
+    if (state_ == State::closed) return;
+    finish_without_response(request_unsent() ? HostOutcome::connect_failed : HostOutcome::error);
+}
+
+bool HostConnection::stream_response() {
+    if (state_ != State::awaiting_response || !reader_.header_complete() || !owner_.streams_responses())
+        return true;
+    if (!streaming_) {
+        if (reader_.header().result() != http::status::ok || !reader_.exceeds_buffered_body()) return true;
+        return begin_streaming();
+    }
+    if (reader_.body().empty()) {
+        set_deadline(Steady::now() + stall_timeout);
+        return true;
+    }
+    awaiting_resume_ = true;
+    set_deadline(Steady::time_point::max());
+    owner_.on_response_piece(key_, std::exchange(reader_.body(), {}));
+    return false;
+}
+
+bool HostConnection::begin_streaming() {
+    streaming_ = true;
+    began_after_ = elapsed_since(since_, Steady::now());
+    HostResult result;
+    result.outcome = HostOutcome::success;
+    result.elapsed = began_after_;
+    result.answer.base() = reader_.header();
+    result.answer.body() = std::exchange(reader_.body(), {});
+    awaiting_resume_ = true;
+    set_deadline(Steady::time_point::max());  // it waits for the client now, which has a timeout of its own
+    const auto self = shared_from_this();
+    if (!owner_.on_response_begun(key_, host_->uid, std::move(result))) cancel();
+    return false;
+}
+
+void HostConnection::finish_with_response() {
+    HostResult result;
+    auto message = reader_.release();
+    const bool has_length = !message.need_eof();
+    result.answer.base() = std::move(message.base());
+    result.answer.body() = std::move(message.body());
+    const auto load_report = result.answer["Endpoint-Load-Metrics"];
+    result.load_report.assign(load_report.data(), load_report.size());
+    result.outcome = outcome_of(result.answer);
+    const bool reusable = has_length && state_ == State::awaiting_response && result.answer.keep_alive() &&
+                          reader_.buffered_bytes() == 0 && silent() && host_->accepts_requests() &&
+                          host_->endpoint == endpoint_;
+    report(std::move(result), reusable);
+}
+
+void HostConnection::finish_without_response(HostOutcome outcome) {
+    HostResult result;
+    result.outcome = outcome;
+    report(std::move(result), false);
+}
+
+void HostConnection::report(HostResult&& result, bool reusable) {
+    const auto self = shared_from_this();
+    owner_.on_exchange_ended(self);
+    const auto now = Steady::now();
+    result.elapsed = streaming_ ? began_after_ : elapsed_since(since_, now);
+    reader_.stop();
+    if (reusable) become_idle(now);
+    else
+        close(has_response(result.outcome) ? HostCloseReason::not_reusable
+                                           : HostCloseReason::exchange_failed);
+    if (is_health_check_) owner_.on_health_check_result(host_->uid, std::move(result));
+    else owner_.on_attempt_result(key_, host_->uid, std::move(result));
+}
+
+void HostConnection::become_idle(Steady::time_point now) {
+    state_ = State::idle;
+    since_ = now;
+    deadline_timer_.cancel();
+    // Releases the memory that a large exchange needed.
+    reader_.shrink();
+    if (request_buffer_.capacity() > max_idle_buffer_bytes) std::string().swap(request_buffer_);
+    owner_.on_idle(shared_from_this());
+}
+
+void HostConnection::close_idle() {
+    const auto self = shared_from_this();
+    owner_.on_idle_lost(self);
+    close(HostCloseReason::closed_by_host);
+}
+
+}  // namespace gateway::server
--- a/src/server/http.h
+++ b/src/server/http.h
@@ -1,4 +1,4 @@
-// The HTTP messages of the gateway and what both sides of it need of them.
+// The HTTP message types of the gateway and the functions on them that clients' and hosts' connections share.
 #pragma once
 
 #include <boost/beast/core/buffers_range.hpp>
@@ -15,12 +15,15 @@
 using Request = http::request<http::string_body>;
 using Answer = http::response<http::string_body>;
 
-// A body up to `most_body` is held whole, a longer one is passed on in pieces as it comes.
-constexpr std::size_t most_body = 64 * 1024, most_header = 16 * 1024;
-constexpr std::uint64_t most_long_body = 32ull * 1024 * 1024;
+// The limit of a message's header, in bytes.
+constexpr std::size_t most_header = 16 * 1024;
+// A body up to this many bytes is held complete in memory; a longer response is streamed.
+constexpr std::size_t max_buffered_body_bytes = 64 * 1024;
+// The limit of a streamed response's body, in bytes.
+constexpr std::uint64_t max_streamed_body_bytes = 32ull * 1024 * 1024;
 
-// A body of which only the piece that came last is held: a long one never stands whole in memory. Beast's own
-// string_body would set aside room for as much as the header tells.
+// A Beast body type that holds only the part of the body not taken yet, because a long body must never be
+// complete in memory. Beast's own string_body would allocate as much as the header announces.
 struct PieceBody {
     using value_type = std::string;
     static std::uint64_t size(const value_type& body) { return body.size(); }
@@ -33,8 +36,10 @@
         std::size_t put(const Buffers& buffers, boost::system::error_code& ec) {
             ec = {};
             std::size_t size = 0;
-            for (const boost::asio::const_buffer b : boost::beast::buffers_range_ref(buffers))
-                body_.append(static_cast<const char*>(b.data()), b.size()), size += b.size();
+            for (const boost::asio::const_buffer buffer : boost::beast::buffers_range_ref(buffers)) {
+                body_.append(static_cast<const char*>(buffer.data()), buffer.size());
+                size += buffer.size();
+            }
             return size;
         }
         void finish(boost::system::error_code& ec) { ec = {}; }
@@ -44,14 +49,14 @@
     };
 };
 
-// One piece in the chunked coding; an empty one ends the body.
-inline std::string as_chunk(std::string_view piece) {
-    char size[20];
-    std::snprintf(size, sizeof size, "%zx\r\n", piece.size());
-    return std::string(size).append(piece).append("\r\n");
+// Encodes a piece of a body as one chunk of the chunked transfer coding. An empty piece ends the body.
+[[nodiscard]] inline std::string as_chunk(std::string_view piece) {
+    char size_line[20];
+    std::snprintf(size_line, sizeof size_line, "%zx\r\n", piece.size());
+    return std::string(size_line).append(piece).append("\r\n");
 }
 
-// The whole message as text, in one buffer that keeps its room from message to message.
+// Writes the complete message into `out`, which keeps its capacity from message to message.
 template <bool is_request>
 void serialize(const http::message<is_request, http::string_body, http::fields>& message, std::string& out) {
     out.clear();
@@ -60,12 +65,15 @@
     while (!serializer.is_done() && !ec)
         serializer.next(ec, [&](boost::system::error_code&, const auto& buffers) {
             std::size_t size = 0;
-            for (const boost::asio::const_buffer b : boost::beast::buffers_range_ref(buffers))
-                out.append(static_cast<const char*>(b.data()), b.size()), size += b.size();
+            for (const boost::asio::const_buffer buffer : boost::beast::buffers_range_ref(buffers)) {
+                out.append(static_cast<const char*>(buffer.data()), buffer.size());
+                size += buffer.size();
+            }
             serializer.consume(size);
         });
 }
 
+// Writes only the message's header into `out`.
 template <bool is_request>
 void serialize_header(const http::message<is_request, http::empty_body, http::fields>& message,
                       std::string& out) {
@@ -76,36 +84,39 @@
     while (!serializer.is_header_done() && !ec)
         serializer.next(ec, [&](boost::system::error_code&, const auto& buffers) {
             std::size_t size = 0;
-            for (const boost::asio::const_buffer b : boost::beast::buffers_range_ref(buffers))
-                out.append(static_cast<const char*>(b.data()), b.size()), size += b.size();
+            for (const boost::asio::const_buffer buffer : boost::beast::buffers_range_ref(buffers)) {
+                out.append(static_cast<const char*>(buffer.data()), buffer.size());
+                size += buffer.size();
+            }
             serializer.consume(size);
         });
 }
 
-// Whether a header that Beast has taken leaves no doubt where its message ends. Beast lets pass codings that
-// do not end in chunked, as if there were no body, and lengths that are repeated or listed: two readers can
-// see two ends there, and what lies between would be a request or an answer of its own.
-template <class Message>
-bool frames_clearly(const Message& message) {
-    const auto codings = message.equal_range(http::field::transfer_encoding);
+// Whether a header that Beast has accepted leaves no doubt where its message ends (RFC 9112, section 6.3).
+// Beast accepts transfer codings that do not end in chunked, as if there were no body, and lengths that are
+// repeated or listed. Two readers can then see two ends, and the bytes between them could be smuggled in as a
+// request or a response of their own.
+template <class Header>
+[[nodiscard]] bool has_unambiguous_length(const Header& header) {
+    const auto codings = header.equal_range(http::field::transfer_encoding);
     if (codings.first != codings.second)
-        return message.version() >= 11 && std::next(codings.first) == codings.second &&
+        return header.version() >= 11 && std::next(codings.first) == codings.second &&
                boost::beast::iequals(codings.first->value(), "chunked");
-    const auto lengths = message.equal_range(http::field::content_length);
+    const auto lengths = header.equal_range(http::field::content_length);
     if (lengths.first == lengths.second) return true;
     const auto text = lengths.first->value();
     return std::next(lengths.first) == lengths.second && text.find_first_not_of("0123456789") == text.npos;
 }
 
-// Whether the length that a header tells can be taken. Beast's own limit does not see to that in every
-// version: an answer said to have 3 GB had room for all of it set aside and was read on.
+// Whether the Content-Length of a parsed header is within the limit. Beast's own limit does not ensure that
+// in every version: for a response announced with 3 GB it allocated all of that and read on.
 template <class Parser>
-bool fits(const Parser& parser) {
+[[nodiscard]] bool length_within_limit(const Parser& parser) {
     const auto length = parser.content_length();
-    return !length || *length <= most_long_body;
+    return !length || *length <= max_streamed_body_bytes;
 }
 
-// Takes out what concerns one connection only and must not travel on.
+// Removes the hop-by-hop fields, which concern one connection only and must not be forwarded.
 template <class Fields>
 void strip_connection_fields(Fields& fields) {
     for (const http::field name :
@@ -114,7 +125,8 @@
         fields.erase(name);
 }
 
-inline Answer make_answer(http::status status, std::string text = {}) {
+// An HTTP/1.1 response of the gateway itself.
+[[nodiscard]] inline Answer make_answer(http::status status, std::string text = {}) {
     Answer answer(status, 11);
     answer.body() = std::move(text);
     return answer;
--- a/src/server/socket_write.h
+++ b/src/server/socket_write.h
@@ -1,4 +1,4 @@
-// Writes to a stream socket that does not block.
+// Non-blocking writes to a stream socket.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -9,12 +9,17 @@
 
 namespace gateway::server {
 
-// Writes as much of `bytes` as the socket takes now; returns how many bytes that was. `ec` is set where the
-// connection is broken, not where the socket is full.
+// Whether a non-blocking operation failed only because it would block.
+[[nodiscard]] inline bool is_would_block(const boost::system::error_code& ec) {
+    return ec == boost::asio::error::would_block || ec == boost::asio::error::try_again;
+}
+
+// Writes as much of `bytes` as the socket accepts now and returns how many bytes that was. Sets `ec` where
+// the connection is broken, not where the socket's buffer is full. The socket has to be in non-blocking mode.
 //
-// A short write does not mean that the socket is full: the system may take a part for other reasons, and an
-// edge-triggered wait for room would then never end. So this goes on until all is written or the system says
-// that it would block. The socket has to be in non-blocking mode.
+// Writes until everything is written or the system reports that it would block, because a short write does
+// not mean that the buffer is full: the system may accept a part for other reasons, and an edge-triggered
+// wait for space would then never end.
 template <class Socket>
 std::size_t write_available(Socket& socket, std::string_view bytes, boost::system::error_code& ec) {
     std::size_t written = 0;
@@ -23,7 +28,7 @@
         const std::string_view rest = bytes.substr(written);
         written += socket.write_some(boost::asio::buffer(rest.data(), rest.size()), ec);
         if (!ec) continue;
-        if (ec == boost::asio::error::would_block || ec == boost::asio::error::try_again) ec = {};
+        if (is_would_block(ec)) ec = {};
         break;
     }
     return written;
--- /dev/null
+++ b/tests/server/host_response_reader_test.cpp
@@ -0,0 +1,97 @@
+// The parser of hosts' responses, without any socket.
+#include "host_response_reader.h"
+
+#include <gtest/gtest.h>
+
+#include <boost/asio/buffer.hpp>
+#include <string>
+#include <string_view>
+
+namespace gateway::server::test {
+namespace {
+using Progress = HostResponseReader::Progress;
+
+void feed(HostResponseReader& reader, std::string_view bytes) {
+    const bool streaming = false;
+    reader.commit(
+        boost::asio::buffer_copy(reader.prepare(streaming), boost::asio::buffer(bytes.data(), bytes.size())));
+}
+
+// Parses the bytes as the next response to a request that is no HEAD request.
+Progress parse(HostResponseReader& reader, std::string_view bytes) {
+    reader.start(false);
+    feed(reader, bytes);
+    return reader.parse();
+}
+
+TEST(HostResponseReader, ParsesAResponseThatComesInParts) {
+    HostResponseReader reader;
+    EXPECT_EQ(parse(reader, "HTTP/1.1 200 OK\r\nContent-Le"), Progress::incomplete);
+    EXPECT_FALSE(reader.header_complete());
+    feed(reader, "ngth: 4\r\n\r\nbo");
+    EXPECT_EQ(reader.parse(), Progress::incomplete);
+    EXPECT_TRUE(reader.header_complete());
+    feed(reader, "dy");
+    EXPECT_EQ(reader.parse(), Progress::complete);
+    EXPECT_EQ(reader.release().body(), "body");
+    EXPECT_EQ(reader.buffered_bytes(), 0u);
+}
+
+TEST(HostResponseReader, LeavesSurplusBytesInTheBuffer) {
+    HostResponseReader reader;
+    EXPECT_EQ(parse(reader, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nasurplus"), Progress::complete);
+    EXPECT_EQ(reader.buffered_bytes(), std::string_view("surplus").size());
+}
+
+TEST(HostResponseReader, SkipsInterimResponsesUpToTheLimit) {
+    const std::string interim = "HTTP/1.1 103 Early Hints\r\n\r\n";
+    std::string responses;
+    for (int count = 0; count < 8; ++count) responses += interim;
+    const std::string final_response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+    HostResponseReader reader;
+    EXPECT_EQ(parse(reader, responses + final_response), Progress::complete);
+    HostResponseReader second;
+    EXPECT_EQ(parse(second, responses + interim + final_response), Progress::malformed);
+}
+
+TEST(HostResponseReader, RejectsAProtocolSwitchAndAmbiguousLengths) {
+    for (const char* response :
+         {"HTTP/1.1 101 Switching Protocols\r\n\r\n",
+          "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nab",
+          "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "SSH-2.0\r\n\r\n"}) {
+        HostResponseReader reader;
+        EXPECT_EQ(parse(reader, response), Progress::malformed) << response;
+    }
+}
+
+TEST(HostResponseReader, AResponseToHeadHasNoBody) {
+    HostResponseReader reader;
+    reader.start(true);
+    feed(reader, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n");
+    EXPECT_EQ(reader.parse(), Progress::complete);
+}
+
+TEST(HostResponseReader, OnlyAResponseWithoutALengthIsCompleteAtTheEndOfTheStream) {
+    HostResponseReader without_length;
+    EXPECT_EQ(parse(without_length, "HTTP/1.1 200 OK\r\n\r\nall"), Progress::incomplete);
+    EXPECT_TRUE(without_length.finish_at_end_of_stream());
+    EXPECT_EQ(without_length.release().body(), "all");
+    HostResponseReader with_length;
+    EXPECT_EQ(parse(with_length, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), Progress::incomplete);
+    EXPECT_FALSE(with_length.finish_at_end_of_stream());
+}
+
+TEST(HostResponseReader, KnowsFromTheLengthThatABodyIsTooLongToBeBuffered) {
+    const std::string header = "HTTP/1.1 200 OK\r\nContent-Length: ";
+    HostResponseReader at_limit;
+    EXPECT_EQ(parse(at_limit, header + std::to_string(max_buffered_body_bytes) + "\r\n\r\n"),
+              Progress::incomplete);
+    EXPECT_FALSE(at_limit.exceeds_buffered_body());
+    HostResponseReader beyond_limit;
+    EXPECT_EQ(parse(beyond_limit, header + std::to_string(max_buffered_body_bytes + 1) + "\r\n\r\n"),
+              Progress::incomplete);
+    EXPECT_TRUE(beyond_limit.exceeds_buffered_body());
+}
+
+}  // namespace
+}  // namespace gateway::server::test
