--- /dev/null
+++ b/src/server/client_connection_set.cpp
@@ -0,0 +1,121 @@
+#include "client_connection_set.h"
+
+#include <algorithm>
+
+#include "client_connection.h"
+#include "containment.h"
+
+namespace gateway::server {
+using namespace std::chrono_literals;
+
+namespace {
+// A newcomer that has been silent for this long is evicted first, because a client's first request arrives
+// well before.
+constexpr std::chrono::milliseconds newcomer_grace_period = 50ms;
+}  // namespace
+
+void ClientConnectionSet::add_newcomer(const std::shared_ptr<ClientConnection>& connection) {
+    add(newcomers_, connection);
+}
+
+void ClientConnectionSet::add_known(const std::shared_ptr<ClientConnection>& connection) {
+    add(known_, connection);
+}
+
+void ClientConnectionSet::add(Connections& list, const std::shared_ptr<ClientConnection>& connection) {
+    connection->position_ = {&list, list.insert(list.end(), connection)};
+}
+
+void ClientConnectionSet::move_to_known(ClientConnection& connection) {
+    move(connection, known_, known_.end());
+}
+
+void ClientConnectionSet::move_to_newcomers(ClientConnection& connection) {
+    move(connection, newcomers_, newcomers_.end());
+}
+
+void ClientConnectionSet::move_to_front(ClientConnection& connection) {
+    move(connection, newcomers_, newcomers_.begin());
+}
+
+void ClientConnectionSet::move(ClientConnection& connection, Connections& list,
+                               Connections::iterator before) {
+    Position& position = connection.position_;
+    list.splice(before, *position.list, position.entry);
+    position.list = &list;
+}
+
+void ClientConnectionSet::remove(ClientConnection& connection) {
+    const Position position = connection.position_;
+    position.list->erase(position.entry);
+}
+
+bool ClientConnectionSet::any_busy() const {
+    const auto busy = [](const auto& connection) { return connection->busy(); };
+    return std::any_of(newcomers_.begin(), newcomers_.end(), busy) ||
+           std::any_of(known_.begin(), known_.end(), busy);
+}
+
+bool ClientConnectionSet::evict_one() {
+    return evict_one_newcomer(newcomer_grace_period) || evict_one_idle() || evict_one_newcomer({});
+}
+
+bool ClientConnectionSet::evict_one_newcomer(Steady::duration silent_for) {
+    const auto connected_by = Steady::now() - silent_for;
+    const auto found = std::find_if(newcomers_.begin(), newcomers_.end(), [&](const auto& connection) {
+        return connection->evictable_newcomer(connected_by);
+    });
+    if (found == newcomers_.end()) return false;
+    (*found)->close(ClientCloseReason::evicted);
+    return true;
+}
+
+bool ClientConnectionSet::evict_one_idle() {
+    const auto found =
+        std::find_if(known_.begin(), known_.end(), [](const auto& connection) { return connection->idle(); });
+    if (found == known_.end()) return false;
+    (*found)->close(ClientCloseReason::evicted);
+    return true;
+}
+
+// Newcomers that have only requested health as well: no kept one would leave by itself.
+void ClientConnectionSet::close_idle() {
+    for_each([](ClientConnection& connection) { connection.close_if_idle(); });
+}
+
+void ClientConnectionSet::hand_over() {
+    for_each([](ClientConnection& connection) { connection.hand_over_if_possible(); });
+}
+
+// The action may move or remove the connection it is called with.
+template <class Action>
+void ClientConnectionSet::for_each(Action action) {
+    for (Connections* list : {&newcomers_, &known_})
+        for (auto entry = list->begin(); entry != list->end();) {
+            const auto connection = *entry++;
+            action(*connection);
+        }
+}
+
+void ClientConnectionSet::handle_timeouts() {
+    handle_timeouts(newcomers_);
+    handle_timeouts(known_);
+}
+
+void ClientConnectionSet::handle_timeouts(Connections& list) {
+    const auto now = Steady::now();
+    for (auto entry = list.begin(); entry != list.end();) {
+        const auto connection = *entry++;  // it may be removed now
+        if (!connection->overdue(now)) continue;
+        contain(
+            "client", [&] { connection->on_timeout(); },
+            [&] { connection->close(ClientCloseReason::internal_error); });
+    }
+}
+
+void ClientConnectionSet::close_all(ClientCloseReason reason) {
+    while (!newcomers_.empty()) newcomers_.front()->close(reason);
+    while (!known_.empty()) known_.front()->close(reason);
+}
+
+}  // namespace gateway::server
--- /dev/null
+++ b/src/server/client_listener.cpp
@@ -0,0 +1,145 @@
+#include "client_listener.h"
+
+#include <fcntl.h>
+#include <poll.h>
+
+#include <algorithm>
+#include <boost/asio/post.hpp>
+#include <cerrno>
+#include <utility>
+
+#include "log.h"
+#include "shared_address.h"
+
+namespace gateway::server {
+namespace asio = boost::asio;
+using asio::ip::tcp;
+using boost::system::error_code;
+using namespace std::chrono_literals;
+
+namespace {
+// With a permanent backlog nothing tells when the next connection in it came: this much before it is accepted
+// at most, because otherwise all its requests would count as expired.
+constexpr std::chrono::milliseconds max_backlog_age = 500ms;
+constexpr std::chrono::milliseconds accept_backoff = 20ms;  // after an accept that failed for a shortage
+
+bool is_shortage(error_code ec) {
+    return ec == asio::error::no_descriptors || ec == asio::error::no_buffer_space ||
+           ec == asio::error::no_memory || ec.value() == ENFILE;
+}
+}  // namespace
+
+ClientListener::ClientListener(asio::io_context& io, const tcp::endpoint& address, SocketBudget& budget,
+                               Callbacks callbacks, Descriptor&& listener)
+    : io_(io),
+      budget_(budget),
+      callbacks_(std::move(callbacks)),
+      acceptor_(io),
+      backoff_timer_(io),
+      backlog_since_(Steady::now()) {  // clients may connect from the listen on, before the loop runs
+    if (listener) {
+        acceptor_.assign(address.protocol(), listener.release());
+    } else {
+        acceptor_.open(address.protocol());
+        acceptor_.set_option(tcp::acceptor::reuse_address(true));  // a restart binds at once
+        acceptor_.set_option(reuse_port(true));  // even while the former process still listens
+        acceptor_.bind(address);
+        acceptor_.listen(asio::socket_base::max_listen_connections);
+    }
+    acceptor_.non_blocking(true);
+}
+
+void ClientListener::start() {
+    budget_.on_freed([this] {
+        if (!std::exchange(awaiting_place_, false)) return;
+        asio::post(io_, [this] { accept(); });
+    });
+    accept();
+}
+
+void ClientListener::detach() { budget_.on_freed({}); }
+
+void ClientListener::suspend() {
+    suspended_ = true;
+    error_code ec;
+    acceptor_.cancel(ec);
+}
+
+void ClientListener::resume() {
+    suspended_ = false;
+    accept();
+}
+
+// One accept is pending unless no place is left for a further client; then a freed place starts the next.
+void ClientListener::accept() {
+    if (accept_pending_ || suspended_ || !acceptor_.is_open()) return;
+    accept_pending_ = true;
+    acceptor_.async_wait(tcp::acceptor::wait_read, [this](error_code failed) {
+        accept_pending_ = false;
+        if (suspended_ || !acceptor_.is_open()) return;
+        // Cancelled by a suspension that was over before this handler ran.
+        if (failed) return accept();
+        on_acceptable();
+    });
+}
+
+void ClientListener::on_acceptable() {
+    error_code ec;
+    const bool had_place = accept_one(ec);
+    if (!has_backlog()) backlog_since_.reset();
+    else if (!backlog_since_) backlog_since_ = Steady::now();
+    if (!had_place) {
+        awaiting_place_ = true;
+        return;
+    }
+    if (!is_shortage(ec)) return accept();
+    LogLine(LogLevel::warning, "accept_failed").with("error", ec.message());
+    callbacks_.on_shortage();
+    accept_after_backoff();
+}
+
+// Guards against a busy loop: whoever holds the descriptors, the connection in the backlog would end the next
+// wait at once, over and over.
+void ClientListener::accept_after_backoff() {
+    backoff_timer_.expires_after(accept_backoff);
+    backoff_timer_.async_wait([this](error_code cancelled) {
+        if (!cancelled) accept();
+    });
+}
+
+// Returns false where no place was left for it.
+bool ClientListener::accept_one(error_code& ec) {
+    std::optional<SocketBudget::Place> place = budget_.take(SocketBudget::Side::client);
+    if (!place) return false;
+    tcp::socket socket(io_);
+    acceptor_.accept(socket, ec);
+    if (ec) return true;
+    callbacks_.on_connection(std::move(socket), std::move(*place), connected_by());
+    return true;
+}
+
+bool ClientListener::accept_backlog() {
+    if (suspended_) return false;  // the backlog is the other process's
+    bool any = false;
+    for (error_code ec; accept_one(ec) && !ec;) any = true;
+    // An accept may fail temporarily, or find no place: the connections behind it are not passed over.
+    return any || has_backlog();
+}
+
+bool ClientListener::has_backlog() {
+    pollfd listener{acceptor_.native_handle(), POLLIN, 0};
+    return ::poll(&listener, 1, 0) > 0;
+}
+
+// Never later than the connection at the head of the backlog came, except for one that has waited very long.
+Steady::time_point ClientListener::connected_by() const {
+    const auto now = Steady::now();
+    return std::max(backlog_since_.value_or(now), now - max_backlog_age);
+}
+
+Descriptor ClientListener::share() const {
+    const int listener = const_cast<tcp::acceptor&>(acceptor_).native_handle();
+    return Descriptor(::fcntl(listener, F_DUPFD_CLOEXEC, 0));
+}
+
+}  // namespace gateway::server
