--- a/src/server/byte_budget.h
+++ b/src/server/byte_budget.h
@@ -1,4 +1,4 @@
-// How many bytes of clients' bodies the process may hold.
+// Limits how many bytes of clients' request bodies the process holds.
 #pragma once
 
 #include <cstddef>
@@ -6,15 +6,15 @@
 
 namespace gateway::server {
 
-// Guards against clients that together send more than the memory limit holds: a body's room is asked for
-// before it is read, and a request that finds none is turned away.
+// A limit on bytes that are reserved before they are read. Guards against clients that together send more
+// than fits into the memory limit: a request whose reservation fails is rejected. Outlives its reservations.
 class ByteBudget {
   public:
-    // Gives its bytes back when it ends.
+    // A reservation of bytes. Gives them back at its end.
     class Room {
       public:
+        // Reserves nothing.
         Room() = default;
-        Room(ByteBudget& budget, std::size_t bytes) : budget_(&budget), bytes_(bytes) {}
         Room(Room&& other) noexcept
             : budget_(std::exchange(other.budget_, nullptr)), bytes_(std::exchange(other.bytes_, 0)) {}
         Room& operator=(Room&& other) noexcept {
@@ -23,27 +23,35 @@
             return *this;
         }
         ~Room() { give_back(); }
-        void give_back() {
+        // Gives the bytes back early. Does nothing where none are reserved.
+        void give_back() noexcept {
             if (ByteBudget* const budget = std::exchange(budget_, nullptr)) budget->held_ -= bytes_;
         }
-        explicit operator bool() const { return budget_ != nullptr; }
+        // Whether it holds a reservation.
+        [[nodiscard]] explicit operator bool() const noexcept { return budget_ != nullptr; }
 
       private:
+        friend class ByteBudget;
+        Room(ByteBudget& budget, std::size_t bytes) : budget_(&budget), bytes_(bytes) {}
+
         ByteBudget* budget_ = nullptr;
         std::size_t bytes_ = 0;
     };
 
-    explicit ByteBudget(std::size_t most) : most_(most) {}
-    // Holds nothing where so many bytes are not left.
-    Room take(std::size_t bytes) {
-        if (bytes > most_ - held_) return {};
+    explicit ByteBudget(std::size_t limit_bytes) : limit_bytes_(limit_bytes) {}
+
+    // Reserves the bytes. The result holds no reservation where they exceed what is left.
+    [[nodiscard]] Room take(std::size_t bytes) {
+        if (bytes > limit_bytes_ - held_) return {};
         held_ += bytes;
         return {*this, bytes};
     }
-    std::size_t held() const { return held_; }
+    // How many bytes are reserved.
+    [[nodiscard]] std::size_t held() const noexcept { return held_; }
 
   private:
-    std::size_t most_, held_ = 0;
+    const std::size_t limit_bytes_;
+    std::size_t held_ = 0;
 };
 
 }  // namespace gateway::server
--- a/src/server/containment.h
+++ b/src/server/containment.h
@@ -1,4 +1,4 @@
-// Keeps what one connection throws from ending the process.
+// Keeps an exception in the handler of one connection from ending the process.
 #pragma once
 
 #include <exception>
@@ -7,15 +7,16 @@
 
 namespace gateway::server {
 
-// Runs `step` of one connection. What it throws (a bound of a buffer, memory that is short) ends that
-// connection alone: `abandon` is called, with no further step.
-template <class Step, class Abandon>
-void contain(const char* whose, Step step, Abandon abandon) {
+// Runs a handler of one connection. An exception from it (a buffer limit, memory exhaustion) is logged and
+// ends that connection alone: `close` is called, and the handler is not run further. `side` names the
+// connection's side in the log: "client" or "host".
+template <class Handler, class Close>
+void contain(const char* side, Handler handler, Close close) {
     try {
-        step();
+        handler();
     } catch (const std::exception& error) {
-        LogLine(LogLevel::error, "connection_abandoned").with("whose", whose).with("error", error.what());
-        abandon();
+        LogLine(LogLevel::error, "connection_handler_failed").with("side", side).with("error", error.what());
+        close();
     }
 }
 
--- a/src/server/reasons.cpp
+++ b/src/server/reasons.cpp
@@ -2,7 +2,7 @@
 
 namespace gateway::server {
 
-const char* to_string(HostOutcome outcome) {
+const char* to_string(HostOutcome outcome) noexcept {
     switch (outcome) {
         case HostOutcome::success:
             return "success";
@@ -26,7 +26,7 @@
     return "unknown";
 }
 
-const char* to_string(HostCloseReason reason) {
+const char* to_string(HostCloseReason reason) noexcept {
     switch (reason) {
         case HostCloseReason::exchange_failed:
             return "exchange_failed";
@@ -48,7 +48,7 @@
     return "unknown";
 }
 
-const char* to_string(ClientCloseReason reason) {
+const char* to_string(ClientCloseReason reason) noexcept {
     switch (reason) {
         case ClientCloseReason::closed_by_client:
             return "closed_by_client";
--- a/src/server/reasons.h
+++ b/src/server/reasons.h
@@ -1,4 +1,4 @@
-// How attempts and connections end, and why: the values that logs and metrics show.
+// The outcomes of attempts and the reasons for closing connections, as logs and metrics show them.
 #pragma once
 
 namespace gateway::server {
@@ -6,44 +6,47 @@
 // How an attempt or a health check ended.
 enum class HostOutcome {
     success,
-    error,           // the host answered that it failed, or not as the protocol asks: may have been executed
-    rejected,        // the host answered that it is overloaded: not executed
+    error,           // the host responded with an error, or malformed: may have been executed
+    rejected,        // the host responded that it is overloaded: not executed
     connect_failed,  // the connection broke before the request's last byte was written: not executed
     reset,           // the connection broke after that
-    timeout,
-    cancelled,
-    withdrawn,    // before its last byte was written: not executed
+    timeout,         // no complete response in time: may have been executed
+    cancelled,       // by the gateway: may have been executed
+    withdrawn,       // by the gateway, before its last byte was written: not executed
     not_started,  // this machine had no socket, port, route or descriptor for it: not executed, and no fault
                   // of the host
 };
-[[nodiscard]] const char* to_string(HostOutcome outcome);
+// The name in logs and metrics.
+[[nodiscard]] const char* to_string(HostOutcome outcome) noexcept;
 
 // Why a connection to a host was closed.
 enum class HostCloseReason {
-    exchange_failed,  // timeout, cancellation, reset or an unreadable answer
-    not_reusable,     // the host ends it after the answer, or takes nothing new
-    idle_timeout,
-    closed_by_host,  // while it was idle: an end, or bytes that nobody asked for
-    host_draining,   // the endpoint list or operators took its host out, or the host has moved
-    evicted,         // its descriptor is needed for another connection
-    handed_over,     // to the next process of an upgrade
-    shutdown,        // with this process
+    exchange_failed,  // timeout, cancellation, reset or failed connect
+    not_reusable,     // the response was malformed or closes it, or the host accepts no requests
+    idle_timeout,     // before the host's own idle timeout
+    closed_by_host,   // while it was idle: an end, or bytes that nobody requested
+    host_draining,    // its host drains, is gone, is banned or has moved
+    evicted,          // its descriptor is needed for another connection
+    handed_over,      // to the next process of an upgrade
+    shutdown,         // with this process
 };
-[[nodiscard]] const char* to_string(HostCloseReason reason);
+// The name in logs and metrics.
+[[nodiscard]] const char* to_string(HostCloseReason reason) noexcept;
 
 // Why a client's connection was closed.
 enum class ClientCloseReason {
     closed_by_client,  // it closed, or its connection broke
-    write_failed,      // an answer could not be written
-    answer_broken,     // a streamed answer broke off at its host, and the client has to see that
-    linger_timeout,    // closed by this side after its last answer
-    timeout,           // the client read nothing of its answer, or was silent, for too long
+    write_failed,      // a response could not be written
+    answer_broken,     // a streamed response broke off at its host, and the client has to see that
+    linger_timeout,    // closed by this side after its last response
+    timeout,           // the client read nothing of its response, or was silent, for too long
     evicted,           // its descriptor is needed for another connection
-    flood,             // the client sent far more than a request behind one in hand
-    internal_error,    // a step of it failed in this program
+    flood,             // too much pipelined data behind a request in flight
+    internal_error,    // a handler of it failed in this program
     handed_over,       // to the next process of an upgrade
     shutdown,          // with this process
 };
-[[nodiscard]] const char* to_string(ClientCloseReason reason);
+// The name in logs and metrics.
+[[nodiscard]] const char* to_string(ClientCloseReason reason) noexcept;
 
 }  // namespace gateway::server
--- a/src/server/socket_budget.h
+++ b/src/server/socket_budget.h
@@ -1,26 +1,26 @@
-// How many sockets the process may hold, shared by clients and hosts.
+// Limits how many sockets the process holds, for clients and hosts together.
 #pragma once
 
+#include <array>
 #include <cstddef>
 #include <functional>
 #include <optional>
 #include <utility>
-#include <vector>
 
 namespace gateway::server {
 
-// Guards against running out of descriptors: who wants a socket asks here first, and where none is left, idle
-// connections are closed for it. Neither side can take all, so that clients cannot starve the way to the
-// hosts.
+// A limit on sockets. Guards against running out of descriptors: each socket needs a place in the budget
+// before it is opened, and where none is left, an idle connection is evicted for it. Neither side can take
+// all places, so that clients can't starve the connections to the hosts. Outlives its places.
 class SocketBudget {
   public:
     enum class Side : std::size_t { client, host };
 
-    // Gives its place back when it ends.
+    // The right to hold one socket. Gives its place back at its end.
     class Place {
       public:
+        // Holds no place.
         Place() = default;
-        Place(SocketBudget& budget, Side side) : budget_(&budget), side_(side) {}
         Place(Place&& other) noexcept : budget_(std::exchange(other.budget_, nullptr)), side_(other.side_) {}
         Place& operator=(Place&& other) noexcept {
             std::swap(budget_, other.budget_);
@@ -28,51 +28,65 @@
             return *this;
         }
         ~Place() { give_back(); }
+        // Gives the place back early. Does nothing where it holds none.
         void give_back() {
             if (SocketBudget* const budget = std::exchange(budget_, nullptr)) budget->free(side_);
         }
 
       private:
+        friend class SocketBudget;
+        Place(SocketBudget& budget, Side side) : budget_(&budget), side_(side) {}
+
         SocketBudget* budget_ = nullptr;
         Side side_ = Side::client;
     };
 
-    explicit SocketBudget(std::size_t sockets) : most_(sockets), most_of_one_(sockets * 6 / 10) {}
+    explicit SocketBudget(std::size_t sockets)
+        : limit_(sockets), limit_per_side_(limit_per_side_of(sockets)) {}
 
-    std::optional<Place> take(Side side) {
-        std::size_t& held = held_[static_cast<std::size_t>(side)];
-        if (held >= most_of_one_ && !reclaim(side)) return std::nullopt;
-        if (held_[0] + held_[1] >= most_ && !reclaim(Side::host) && !reclaim(Side::client))
+    // Takes a place; returns none where the limit is reached and no idle connection can be evicted.
+    [[nodiscard]] std::optional<Place> take(Side side) {
+        std::size_t& held_by_side = held_[index_of(side)];
+        if (held_by_side >= limit_per_side_ && !evict_one(side)) return std::nullopt;
+        if (held_[0] + held_[1] >= limit_ && !evict_one(Side::host) && !evict_one(Side::client))
             return std::nullopt;
-        ++held;
+        ++held_by_side;
         return Place(*this, side);
     }
-    // `closes_one` closes an idle connection of that side if there is one; `freed` hears of places come free.
-    void on_shortage(Side side, std::function<bool()> closes_one) {
-        closes_one_[static_cast<std::size_t>(side)] = std::move(closes_one);
+    // Sets the callback that closes an idle connection of that side and returns whether there was one.
+    void on_shortage(Side side, std::function<bool()> evict_one) {
+        evict_one_[index_of(side)] = std::move(evict_one);
     }
+    // Sets the callback that is called whenever a place may have come free.
     void on_freed(std::function<void()> freed) { freed_ = std::move(freed); }
-    std::size_t most() const { return most_; }
-    // While two processes share the limit, each has a part of it.
+    // The limit for both sides together.
+    [[nodiscard]] std::size_t most() const { return limit_; }
+    // Changes the limit, because two processes share it during an upgrade.
     void set_most(std::size_t sockets) {
-        most_ = sockets, most_of_one_ = sockets * 6 / 10;
+        limit_ = sockets;
+        limit_per_side_ = limit_per_side_of(sockets);
         if (freed_) freed_();
     }
-    std::size_t held(Side side) const { return held_[static_cast<std::size_t>(side)]; }
+    // How many sockets that side holds.
+    [[nodiscard]] std::size_t held(Side side) const { return held_[index_of(side)]; }
 
   private:
-    bool reclaim(Side side) {
-        const auto& closes_one = closes_one_[static_cast<std::size_t>(side)];
-        return closes_one && closes_one();
+    static constexpr std::size_t index_of(Side side) { return static_cast<std::size_t>(side); }
+    static constexpr std::size_t limit_per_side_of(std::size_t sockets) { return sockets * 6 / 10; }
+
+    bool evict_one(Side side) {
+        const auto& evict = evict_one_[index_of(side)];
+        return evict && evict();
     }
     void free(Side side) {
-        --held_[static_cast<std::size_t>(side)];
+        --held_[index_of(side)];
         if (freed_) freed_();
     }
 
-    std::size_t most_, most_of_one_;
-    std::size_t held_[2] = {0, 0};
-    std::function<bool()> closes_one_[2];
+    std::size_t limit_;
+    std::size_t limit_per_side_;
+    std::array<std::size_t, 2> held_{};               // by side
+    std::array<std::function<bool()>, 2> evict_one_;  // by side
     std::function<void()> freed_;
 };
 
