--- /dev/null
+++ b/tools/fault_soak/black_hole.h
@@ -0,0 +1,33 @@
+// An address to which no connection comes up.
+#pragma once
+
+#include <cstdint>
+#include <vector>
+
+#include "net.h"
+
+namespace fault_soak {
+
+// A listener that accepts nothing and whose queue is full: the kernel drops further requests for a
+// connection.
+class BlackHole {
+  public:
+    explicit BlackHole(asio::io_context& io) : listener_(io) {
+        constexpr int fillers = 4;
+        listener_.open(tcp::v4());
+        listener_.bind(any_port());
+        listener_.listen(0);
+        for (int i = 0; i < fillers; ++i) {
+            fillers_.emplace_back(io);
+            fillers_.back().async_connect(listener_.local_endpoint(), [](error_code) {});
+        }
+    }
+
+    [[nodiscard]] std::uint16_t port() const { return listener_.local_endpoint().port(); }
+
+  private:
+    tcp::acceptor listener_;
+    std::vector<tcp::socket> fillers_;
+};
+
+}  // namespace fault_soak
--- a/tools/fault_soak/discovery_stub.cpp
+++ b/tools/fault_soak/discovery_stub.cpp
@@ -3,24 +3,32 @@
 #include <algorithm>
 #include <cstdlib>
 #include <sstream>
+#include <string_view>
 
 namespace fault_soak {
 namespace {
-constexpr Span look_again = 5ms, between_pieces = 20ms;
-constexpr std::size_t piece = 400;
 
-std::int64_t number_behind(std::string_view target, std::string_view key, std::int64_t otherwise) {
+constexpr Duration change_poll_interval = 5ms;
+// How a slow agent sends a response.
+constexpr Duration piece_interval = 20ms;
+constexpr std::size_t piece_bytes = 400;
+constexpr unsigned http_1_1 = 11;
+
+// The number behind a key of a query; `fallback` where the key is missing.
+std::int64_t query_number(std::string_view target, std::string_view key, std::int64_t fallback) {
     const std::size_t at = target.find(key);
-    return at == target.npos ? otherwise : std::atoll(std::string(target.substr(at + key.size())).c_str());
+    if (at == std::string_view::npos) return fallback;
+    return std::atoll(std::string(target.substr(at + key.size())).c_str());
 }
+
 }  // namespace
 
 DiscoveryAgent::DiscoveryAgent(asio::io_context& io, const HostList& list, std::vector<std::string> addresses,
-                               OnTold on_told)
+                               OnListSent on_list_sent)
     : io_(io),
       list_(list),
       addresses_(std::move(addresses)),
-      on_told_(std::move(on_told)),
+      on_list_sent_(std::move(on_list_sent)),
       listeners_{tcp::acceptor(io, any_port()), tcp::acceptor(io, any_port())} {
     for (tcp::acceptor& listener : listeners_) asio::co_spawn(io, accept(listener), asio::detached);
 }
@@ -32,9 +40,9 @@
 
 Task DiscoveryAgent::accept(tcp::acceptor& listener) {
     for (;;) {
-        error_code ec;
-        tcp::socket socket = co_await listener.async_accept(into(ec));
-        if (ec) co_return;
+        error_code error;
+        tcp::socket socket = co_await listener.async_accept(into(error));
+        if (error) co_return;
         asio::co_spawn(io_, serve(std::move(socket)), asio::detached);
     }
 }
@@ -42,47 +50,49 @@
 Task DiscoveryAgent::wait_for_change(std::int64_t since, Clock::duration hold) {
     const Time until = Clock::now() + hold;
     while (list_.version() <= since && Clock::now() < until && !faults.silent)
-        co_await pause(io_, look_again);
+        co_await sleep_for(io_, change_poll_interval);
 }
 
-Task DiscoveryAgent::write(tcp::socket& socket, HttpAnswer& answer, error_code& ec) {
+Task DiscoveryAgent::write(tcp::socket& socket, HttpResponse& response, error_code& error) {
     if (!faults.slow) {
-        co_await http::async_write(socket, answer, into(ec));
+        co_await http::async_write(socket, response, into(error));
         co_return;
     }
-    std::ostringstream text;
-    text << answer;
-    const std::string whole = text.str();
-    for (std::size_t at = 0; at < whole.size() && !ec; at += piece) {
-        const std::size_t size = std::min(piece, whole.size() - at);
-        co_await asio::async_write(socket, asio::buffer(whole.data() + at, size), into(ec));
-        co_await pause(io_, between_pieces);
+    std::ostringstream stream;
+    stream << response;
+    const std::string bytes = stream.str();
+    for (std::size_t at = 0; at < bytes.size() && !error; at += piece_bytes) {
+        const std::size_t size = std::min(piece_bytes, bytes.size() - at);
+        co_await asio::async_write(socket, asio::buffer(bytes.data() + at, size), into(error));
+        co_await sleep_for(io_, piece_interval);
     }
 }
 
 Task DiscoveryAgent::serve(tcp::socket socket) {
-    error_code ec;
+    error_code error;
     boost::beast::flat_buffer buffer;
-    const std::size_t silences = faults.silences;
+    const std::size_t silences_at_start = faults.silences;
     for (;;) {
         HttpRequest request;
-        co_await http::async_read(socket, buffer, request, into(ec));
-        if (ec) co_return;
+        co_await http::async_read(socket, buffer, request, into(error));
+        if (error) co_return;
         const std::string target(request.target());
-        const std::int64_t since = number_behind(target, "from=", -1);
-        if (since >= 0) co_await wait_for_change(since, Span(number_behind(target, "hold_ms=", 0)));
+        const std::int64_t since = query_number(target, "from=", HostList::no_version);
+        if (since >= 0) co_await wait_for_change(since, Duration(query_number(target, "hold_ms=", 0)));
         // A connection that has seen a silence stays silent.
-        if (faults.silent || silences != faults.silences) {
-            co_await http::async_read(socket, buffer, request, into(ec));
+        if (faults.silent || silences_at_start != faults.silences) {
+            co_await http::async_read(socket, buffer, request, into(error));
             co_return;
         }
-        HttpAnswer answer(faults.refuses ? http::status::service_unavailable : http::status::ok, 11);
-        const Time of = Clock::now();
-        if (!faults.refuses) answer.body() = list_.json(addresses_, faults.whole_lists ? -1 : since);
-        answer.prepare_payload();
-        co_await write(socket, answer, ec);
-        if (ec) co_return;
-        if (!faults.refuses) on_told_(of);
+        HttpResponse response(faults.rejects ? http::status::service_unavailable : http::status::ok,
+                              http_1_1);
+        const Time list_time = Clock::now();
+        if (!faults.rejects)
+            response.body() = list_.json(addresses_, faults.complete_lists ? HostList::no_version : since);
+        response.prepare_payload();
+        co_await write(socket, response, error);
+        if (error) co_return;
+        if (!faults.rejects) on_list_sent_(list_time);
     }
 }
 
--- a/tools/fault_soak/fault_proxy.h
+++ b/tools/fault_soak/fault_proxy.h
@@ -1,7 +1,9 @@
-// A proxy between gateways and hosts, with an address for each pair, whose links can be cut, reset or made
-// late.
+// A TCP proxy between gateways and hosts, with an address for each pair, whose links can be cut, reset or
+// delayed.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <map>
 #include <memory>
 #include <string>
@@ -12,33 +14,39 @@
 namespace fault_soak {
 
 struct LinkFaults {
-    bool silent = false;  // nothing is carried; what was held up meanwhile is reset at the end
-    Span late{0};         // what goes over a new connection is held up so long
+    bool silent = false;  // carries nothing; connections with held-up bytes are reset when this ends
+    Duration delay{0};    // of the first bytes of new connections
 };
 
 class FaultProxy {
   public:
-    // What a host can tell of a connection.
+    // Where a connection to a host comes from.
     struct Origin {
         int gateway = -1;
-        Time first_byte;  // of the request that came last
+        Time first_byte;  // of the latest request
     };
 
     FaultProxy(asio::io_context& io, int gateways, std::vector<tcp::endpoint> hosts);
-    std::vector<std::string> addresses_for(int gateway) const;
-    LinkFaults& link(int gateway, int host) { return at(gateway, host).faults; }
+
+    // The addresses at which one gateway reaches the hosts, in their order.
+    [[nodiscard]] std::vector<std::string> addresses_for(int gateway) const;
+    [[nodiscard]] LinkFaults& faults(int gateway, int host) { return link(gateway, host).faults; }
     void reset_connections(int gateway, int host);
-    // Of the connection that comes to a host from that port; none: it does not come from here.
-    const Origin* origin(std::uint16_t port) const;
+    // Of the connection that comes to a host from that port; null where it does not come from this proxy.
+    // Valid as long as the connection is open.
+    [[nodiscard]] const Origin* origin(std::uint16_t port) const;
 
   private:
+    // One connection of a gateway and the one to the host behind it.
     struct Pipe {
-        explicit Pipe(asio::io_context& io, tcp::socket&& from) : gateway(std::move(from)), host(io) {}
-        tcp::socket gateway, host;
+        explicit Pipe(asio::io_context& io, tcp::socket&& accepted)
+            : gateway(std::move(accepted)), host(io) {}
+        tcp::socket gateway;
+        tcp::socket host;
         Origin origin;
         bool awaits_request = true;
         void close();
-        void cut();
+        void reset_both();
     };
     struct Link {
         Link(asio::io_context& io, int from, tcp::endpoint to)
@@ -49,17 +57,21 @@
         LinkFaults faults;
         std::vector<std::weak_ptr<Pipe>> pipes;
     };
-    Link& at(int gateway, int host) {
-        return *links_[static_cast<std::size_t>(gateway) * hosts_ + static_cast<std::size_t>(host)];
+    enum class Direction { to_host, to_gateway };
+
+    [[nodiscard]] Link& link(int gateway, int host) {
+        return *links_[static_cast<std::size_t>(gateway) * host_count_ + static_cast<std::size_t>(host)];
     }
     Task accept(Link& link);
-    Task open(Link& link, std::shared_ptr<Pipe> pipe);
-    Task carry(Link& link, std::shared_ptr<Pipe> pipe, tcp::socket& from, tcp::socket& to, bool requests);
+    // Connects to the host and carries bytes both ways until the connection ends.
+    Task run_pipe(Link& link, std::shared_ptr<Pipe> pipe);
+    Task delay_first_bytes(std::shared_ptr<Pipe> pipe, Duration delay);
+    Task carry(Link& link, std::shared_ptr<Pipe> pipe, Direction direction);
 
     asio::io_context& io_;
-    std::size_t hosts_;
-    std::vector<std::unique_ptr<Link>> links_;
-    std::map<std::uint16_t, std::weak_ptr<Pipe>> by_port_;
+    std::size_t host_count_;
+    std::vector<std::unique_ptr<Link>> links_;            // by gateway, then by host
+    std::map<std::uint16_t, std::weak_ptr<Pipe>> pipes_;  // by the port towards the host
 };
 
 }  // namespace fault_soak
--- /dev/null
+++ b/tools/fault_soak/gateway_faults.cpp
@@ -0,0 +1,143 @@
+// Faults of gateways: restarts, kills, upgrades, reloads and what operators do.
+#include <csignal>
+#include <fstream>
+
+#include "fault_injector.h"
+#include "text.h"
+
+namespace fault_soak {
+namespace {
+
+constexpr Duration upgrade_ready_within = 6s;
+// A reload has taken the new address of discovery by then; the agent's old address may close.
+constexpr Duration reload_takes = 1500ms;
+constexpr Duration truncated_file_stays = 100ms;
+constexpr std::uint64_t shortest_pause_ms = 50;
+constexpr std::uint64_t pause_spread_ms = 100;
+constexpr int kill_down_time_divisor = 4;  // of the fault's length
+constexpr const char* status_request = "GET /status HTTP/1.1\r\nHost: x\r\n\r\n";
+
+}  // namespace
+
+Task FaultInjector::await_exit(GatewayProcess& process, Time until) {
+    while (!process.exited() && Clock::now() < until) co_await sleep_for(process_poll_interval);
+}
+
+Task FaultInjector::restart_gateway(Fault fault) {
+    GatewayUnderTest& gateway = gateway_of(fault);
+    const Time terminated = Clock::now();
+    testbed_.oracle.gateway_terminated(fault.gateway, terminated);
+    gateway.process->signal(SIGTERM);
+    // The load balancer notices only later; clients use the connections that they have for as long as those
+    // stay open.
+    co_await sleep_for(load_balancer_delay);
+    testbed_.set_in_rotation(fault.gateway, false);
+    co_await await_exit(*gateway.process, terminated + shutdown_time);
+    if (!gateway.process->exited()) {
+        gateway.process->signal(SIGKILL);
+        testbed_.oracle.gateway_killed(fault.gateway, Clock::now());
+        while (!gateway.process->exited()) co_await sleep_for(process_poll_interval);
+    } else if (gateway.process->wait_status() != 0) {
+        testbed_.oracle.report(Invariant::no_crash, "",
+                               concat("gateway ", fault.gateway, " did not end in good order"), Clock::now());
+    }
+    testbed_.oracle.gateway_exited(fault.gateway, Clock::now(), true);
+    testbed_.start_process(fault.gateway, gateway.admin);
+    co_await testbed_.await_ready(fault.gateway);
+}
+
+Task FaultInjector::kill_gateway(Fault fault) {
+    GatewayUnderTest& gateway = gateway_of(fault);
+    gateway.process->signal(SIGKILL);
+    testbed_.oracle.gateway_killed(fault.gateway, Clock::now());
+    testbed_.set_in_rotation(fault.gateway, false);
+    while (!gateway.process->exited()) co_await sleep_for(process_poll_interval);
+    testbed_.oracle.gateway_exited(fault.gateway, Clock::now(), true);
+    co_await sleep_for(fault.length / kill_down_time_divisor);
+    testbed_.start_process(fault.gateway, gateway.admin);
+    co_await testbed_.await_ready(fault.gateway);
+}
+
+Task FaultInjector::upgrade_gateway(Fault fault) {
+    GatewayUnderTest& gateway = gateway_of(fault);
+    gateway.former_process = std::move(gateway.process);
+    testbed_.start_process(fault.gateway, gateway.next_admin);
+    HttpResult status;
+    const Time give_up = Clock::now() + upgrade_ready_within + testbed_.options.slack;
+    while (status.code != 200 && Clock::now() < give_up && !gateway.process->exited()) {
+        co_await sleep_for(health_poll_interval);
+        status = co_await testbed_.send_request(gateway.next_admin, status_request);
+    }
+    if (status.code != 200)
+        testbed_.oracle.report(Invariant::ready_in_time, "", concat("upgrade of gateway ", fault.gateway),
+                               Clock::now());
+    gateway.former_process->signal(SIGTERM);
+    co_await await_exit(*gateway.former_process, Clock::now() + shutdown_time);
+    if (!gateway.former_process->exited()) {
+        // Destroying it kills it.
+        testbed_.oracle.gateway_killed(fault.gateway, Clock::now());
+    } else if (gateway.former_process->wait_status() != 0) {
+        testbed_.oracle.report(Invariant::no_crash, "",
+                               concat("the former process of gateway ", fault.gateway), Clock::now());
+    }
+    gateway.former_process.reset();
+    std::swap(gateway.admin, gateway.next_admin);
+}
+
+Task FaultInjector::pause_gateway(Fault fault) {
+    const auto& process = gateway_of(fault).process;
+    const std::uint64_t pause_ms = shortest_pause_ms + fault.variation % pause_spread_ms;
+    process->signal(SIGSTOP);
+    co_await sleep_for(Duration(static_cast<std::int64_t>(pause_ms)));
+    process->signal(SIGCONT);
+}
+
+// The new configuration names the agent's other address; the old one closes its connections soon.
+Task FaultInjector::reload_gateway(Fault fault) {
+    GatewayUnderTest& gateway = gateway_of(fault);
+    gateway.agent_address = 1 - gateway.agent_address;
+    testbed_.write_config(fault.gateway, gateway.admin);
+    gateway.process->signal(SIGHUP);
+    co_await sleep_for(reload_takes);
+}
+
+Task FaultInjector::reload_truncated_file(Fault fault) {
+    GatewayUnderTest& gateway = gateway_of(fault);
+    const std::string config = testbed_.config_json(fault.gateway, gateway.admin);
+    std::ofstream(gateway.config) << config.substr(0, fault.variation % config.size());
+    gateway.process->signal(SIGHUP);
+    co_await sleep_for(truncated_file_stays);
+    testbed_.write_config(fault.gateway, gateway.admin);
+}
+
+Task FaultInjector::call_admin_server(const Fault& fault, std::string path, std::string body, bool& done) {
+    const std::string request =
+        concat("POST ", path, " HTTP/1.1\r\nHost: x\r\nContent-Length: ", body.size(), "\r\n\r\n", body);
+    const HttpResult result = co_await testbed_.send_request(gateway_of(fault).admin, request);
+    done = result.code == 200;
+}
+
+// A restart forgets a ban: its gateway is not changed by other faults meanwhile.
+Task FaultInjector::ban_host(Fault fault) {
+    const std::string uid = testbed_.host_list.hosts()[static_cast<std::size_t>(fault.host)].uid;
+    bool done = false;
+    co_await call_admin_server(fault, "/maintenance/enter", uid, done);
+    if (!done) co_return;
+    testbed_.oracle.host_banned(fault.gateway, fault.host, Clock::now());
+    co_await sleep_for(fault.length);
+    testbed_.oracle.host_banned(fault.gateway, fault.host, std::nullopt);
+    co_await call_admin_server(fault, "/maintenance/exit", uid, done);
+}
+
+Task FaultInjector::put_on_standby(Fault fault) {
+    bool done = false;
+    co_await call_admin_server(fault, "/standby", "", done);
+    if (!done) co_return;
+    co_await sleep_for(load_balancer_delay);
+    testbed_.set_in_rotation(fault.gateway, false);
+    co_await sleep_for(fault.length);
+    co_await call_admin_server(fault, "/active", "", done);
+    co_await testbed_.await_health(fault.gateway);
+}
+
+}  // namespace fault_soak
--- a/tools/fault_soak/gateway_process.h
+++ b/tools/fault_soak/gateway_process.h
@@ -1,66 +1,45 @@
-// One gateway of the run: its addresses, its configuration and the process that runs it.
+// One process of a gateway.
 #pragma once
 
 #include <sys/types.h>
 
+#include <cstdint>
 #include <filesystem>
-#include <memory>
-#include <optional>
-#include <string>
-
-#include "net.h"
-#include "shim_control.h"
 
 namespace fault_soak {
 
-// A file mapped for the shims of one gateway's processes.
-class MappedControl {
-  public:
-    explicit MappedControl(const std::filesystem::path& file);
-    ~MappedControl();
-    MappedControl(const MappedControl&) = delete;
-    MappedControl& operator=(const MappedControl&) = delete;
-    ShimControl& operator*() const { return *control_; }
-    ShimControl* operator->() const { return control_; }
-
-  private:
-    ShimControl* control_;
+// What a gateway process is started with.
+struct GatewayProcessOptions {
+    std::filesystem::path program;
+    std::filesystem::path shim;    // a library to preload; empty: none
+    std::filesystem::path folder;  // the gateway's own: control file, logs and temporary files
+    std::filesystem::path config;
+    int number = 0;  // among the processes of its gateway; names the log
+    std::uint64_t shim_seed = 0;
 };
 
 class GatewayProcess {
   public:
-    struct Files {
-        std::filesystem::path program, shim, folder;  // the folder is the gateway's own
-    };
-
-    GatewayProcess(const Files& files, const std::filesystem::path& config, int number, std::uint64_t seed);
+    // Throws std::runtime_error where the program cannot be started.
+    explicit GatewayProcess(const GatewayProcessOptions& options);
+    // Kills the process where it still runs.
     ~GatewayProcess();
     GatewayProcess(const GatewayProcess&) = delete;
     GatewayProcess& operator=(const GatewayProcess&) = delete;
 
+    // No effect once exited() has been true.
     void signal(int number) const;
-    // Looks whether it has ended.
-    bool ended();
-    // 0 where it ended in good order.
-    int status() const { return status_; }
-    const std::filesystem::path& log() const { return log_; }
+    // Polls the process.
+    [[nodiscard]] bool exited();
+    // Of waitpid(), once exited() has been true: 0 for a graceful shutdown.
+    [[nodiscard]] int wait_status() const noexcept { return wait_status_; }
+    [[nodiscard]] const std::filesystem::path& log() const noexcept { return log_; }
 
   private:
     std::filesystem::path log_;
     pid_t id_ = -1;
-    int status_ = 0;
-    bool ended_ = false;
-};
-
-// Ports of loopback that nobody listens on, apart from those that the system gives out. Another soak on the
-// machine takes others.
-class Ports {
-  public:
-    Ports();
-    std::uint16_t take();
-
-  private:
-    std::uint16_t next_;
+    int wait_status_ = 0;
+    bool exited_ = false;
 };
 
 }  // namespace fault_soak
--- a/tools/fault_soak/host_list.cpp
+++ b/tools/fault_soak/host_list.cpp
@@ -6,11 +6,28 @@
 
 namespace fault_soak {
 namespace {
+
 constexpr int zones = 2;
+constexpr std::size_t hosts_per_cell = 2;
 
 const char* name_of(HostState state) {
-    return state == HostState::ready ? "ready" : state == HostState::draining ? "draining" : "gone";
+    switch (state) {
+        case HostState::ready:
+            return "ready";
+        case HostState::draining:
+            return "draining";
+        case HostState::gone:
+            break;
+    }
+    return "gone";
 }
+
+std::string row_json(const ListedHost& host, std::size_t number, const std::string& address) {
+    return concat(R"({"uid":")", host.uid, R"(","endpoint":")", address, R"(","az":")", host.zone,
+                  R"(","model":"m","pod_group":)", number / hosts_per_cell, R"(,"state":")",
+                  name_of(host.state), R"(","capacity_hint":1,"boot_ms":)", host.boot_ms, "}");
+}
+
 }  // namespace
 
 HostList::HostList(int hosts) {
@@ -26,27 +43,24 @@
     ListedHost& listed = hosts_[static_cast<std::size_t>(host)];
     listed.state = state;
     listed.boot_ms = boot_ms;
-    changes_.emplace_back(++version_, static_cast<std::size_t>(host));
-    changed_at_ = Clock::now();
+    ++version_;
+    changes_.emplace_back(version_, static_cast<std::size_t>(host));
 }
 
 std::string HostList::json(const std::vector<std::string>& addresses, std::int64_t since) const {
-    const bool whole = since < 0;
-    std::set<std::size_t> told;
+    const bool complete = since < 0;
+    std::set<std::size_t> changed;
     for (const auto& [version, host] : changes_)
-        if (version > since) told.insert(host);
+        if (version > since) changed.insert(host);
     std::string rows;
-    for (std::size_t i = 0; i < hosts_.size(); ++i) {
-        const ListedHost& host = hosts_[i];
-        if (whole ? host.state == HostState::gone : !told.contains(i)) continue;
+    for (std::size_t number = 0; number < hosts_.size(); ++number) {
+        const ListedHost& host = hosts_[number];
+        const bool listed = complete ? host.state != HostState::gone : changed.contains(number);
+        if (!listed) continue;
         if (!rows.empty()) rows.append(1, ',');
-        rows.append(R"({"uid":")").append(host.uid);
-        rows.append(R"(","endpoint":")").append(addresses[i]).append(R"(","az":")").append(host.zone);
-        rows.append(R"(","model":"m","pod_group":)").append(std::to_string(i / 2));
-        rows.append(R"(,"state":")").append(name_of(host.state));
-        rows.append(R"(","capacity_hint":1,"boot_ms":)").append(std::to_string(host.boot_ms)).append("}");
+        rows.append(row_json(host, number, addresses[number]));
     }
-    return concat(R"({"rev":)", version_, R"(,"all":)", whole ? "true" : "false", R"(,"targets":[)", rows,
+    return concat(R"({"rev":)", version_, R"(,"all":)", complete ? "true" : "false", R"(,"targets":[)", rows,
                   "]}");
 }
 
--- a/tools/fault_soak/host_stub.cpp
+++ b/tools/fault_soak/host_stub.cpp
@@ -6,17 +6,25 @@
 
 namespace fault_soak {
 namespace {
-constexpr int most_at_work = 6;  // requests; more are turned away
-constexpr double usual_work_ms = 15, slow_work_ms = 400;
-constexpr Span hang_look = 20ms, late_second_answer = 5ms;
-constexpr Span idle_look = 50ms, idle_most = 3s;  // as the settings of the run have it
-constexpr std::size_t large_body = 200 * 1024;
-constexpr int one_large_in = 50;
+
+using Outcome = Oracle::HostOutcome;
+
+constexpr int max_in_flight = 6;  // requests; more are rejected
+constexpr double mean_work_ms = 15;
+constexpr double mean_slow_work_ms = 400;
+constexpr Duration mode_poll_interval = 20ms;
+constexpr Duration second_response_delay = 5ms;
+constexpr Duration idle_poll_interval = 50ms;
+constexpr Duration idle_timeout = 3s;  // as in the settings of the run
+constexpr std::size_t large_body_bytes = 200 * 1024;
+constexpr int large_body_one_in = 50;
+constexpr const char* not_executed_field = "X-Never-Ran: 1\r\n";
+constexpr const char* load_report_field = "Endpoint-Load-Metrics: TEXT outstanding=1, backlog=0\r\n";
 
 std::string head(unsigned status, const std::string& fields, std::size_t length) {
     return concat("HTTP/1.1 ", status, " X\r\n", fields, "Content-Length: ", length, "\r\n\r\n");
 }
-const std::string load_report = "Endpoint-Load-Metrics: TEXT outstanding=1, backlog=0\r\n";
+
 }  // namespace
 
 HostStub::HostStub(asio::io_context& io, int number, std::string zone, std::uint64_t seed, Oracle& oracle)
@@ -27,140 +35,159 @@
       random_(seed),
       listener_(io, any_port()) {
     asio::co_spawn(io, accept(), asio::detached);
-    asio::co_spawn(io, end_idle(), asio::detached);
+    asio::co_spawn(io, close_idle_connections(), asio::detached);
 }
 
 void HostStub::set_mode(HostMode mode) {
     mode_ = mode;
-    if (mode != HostMode::down && mode != HostMode::resets) return;
+    if (mode != HostMode::down && mode != HostMode::resetting) return;
     for (const auto& weak : std::exchange(connections_, {}))
         if (const auto connection = weak.lock()) reset(connection->socket);
 }
+
 void HostStub::drop_idle(bool with_reset) {
     for (const auto& weak : connections_) {
         const auto connection = weak.lock();
         if (!connection || connection->busy) continue;
-        error_code ec;
+        error_code ignored;
         if (with_reset) reset(connection->socket);
-        else connection->socket.close(ec);
+        else connection->socket.close(ignored);
     }
 }
-// As the protocol has it: a connection that has stood idle for the settings' time ends.
-Task HostStub::end_idle() {
+
+// As the protocol has it: a connection that has been idle for the settings' time ends.
+Task HostStub::close_idle_connections() {
     for (;;) {
-        co_await pause(io_, idle_look);
+        co_await sleep_for(io_, idle_poll_interval);
         for (const auto& weak : connections_) {
             const auto connection = weak.lock();
-            error_code ec;
-            if (connection && !connection->busy && Clock::now() - connection->used >= idle_most)
-                connection->socket.close(ec);
+            error_code ignored;
+            if (connection && !connection->busy && Clock::now() - connection->last_used >= idle_timeout)
+                connection->socket.close(ignored);
         }
     }
 }
 
 Task HostStub::accept() {
     for (;;) {
-        error_code ec;
-        auto connection = std::make_shared<Connection>(co_await listener_.async_accept(into(ec)));
-        if (ec) co_return;
-        std::erase_if(connections_, [](const auto& old) { return old.expired(); });
+        error_code error;
+        auto connection = std::make_shared<Connection>(co_await listener_.async_accept(into(error)));
+        if (error) co_return;
+        std::erase_if(connections_, [](const auto& other) { return other.expired(); });
         connections_.push_back(connection);
         if (mode_ == HostMode::down) reset(connection->socket);
         else asio::co_spawn(io_, serve(std::move(connection)), asio::detached);
     }
 }
 
-HostStub::Exchange HostStub::take_in(const HttpRequest& request, const FaultProxy::Origin& origin) {
+HostStub::Exchange HostStub::record_attempt(const HttpRequest& request, const FaultProxy::Origin& origin) {
     Exchange exchange;
     exchange.trace = std::string(request["X-Trace-Id"]);
-    const std::int64_t told_ms = std::atoll(std::string(request["X-Expires-In-Ms"]).c_str());
-    exchange.attempt = oracle_.attempt(exchange.trace, origin.gateway, number_, zone_, origin.first_byte,
-                                       Clock::now(), told_ms);
+    const std::int64_t forwarded_ms = std::atoll(std::string(request["X-Expires-In-Ms"]).c_str());
+    exchange.attempt = oracle_.attempt_received(exchange.trace, origin.gateway, number_, zone_,
+                                                origin.first_byte, Clock::now(), forwarded_ms);
     return exchange;
 }
 
+void HostStub::record_outcome(const Exchange& exchange, Outcome outcome, const std::string& body) {
+    oracle_.attempt_ended(exchange.trace, exchange.attempt, outcome, body);
+}
+
 Task HostStub::serve(std::shared_ptr<Connection> connection) {
     tcp::socket* const socket = &connection->socket;
-    error_code ec;
-    socket->set_option(tcp::no_delay(true), ec);
-    const std::uint16_t port = socket->remote_endpoint(ec).port();
+    error_code error;
+    socket->set_option(tcp::no_delay(true), error);
+    const std::uint16_t port = socket->remote_endpoint(error).port();
     boost::beast::flat_buffer buffer;
     while (socket->is_open()) {
         HttpRequest request;
         connection->busy = false;
-        connection->used = Clock::now();
-        co_await http::async_read(*socket, buffer, request, into(ec));
-        if (ec) co_return;
+        connection->last_used = Clock::now();
+        co_await http::async_read(*socket, buffer, request, into(error));
+        if (error) co_return;
         connection->busy = true;
         const FaultProxy::Origin* const origin = proxy_->origin(port);
         if (origin == nullptr) co_return;
         if (request.target() == "/_load" || request.target() == "/ping") {
-            while (mode_ == HostMode::hangs) co_await pause(io_, hang_look);
-            co_await say(*socket, head(200, load_report, 0));
+            co_await respond_to_health_check(*socket);
             continue;
         }
-        const Exchange exchange = take_in(request, *origin);
-        co_await answer(*socket, exchange);
+        const Exchange exchange = record_attempt(request, *origin);
+        co_await respond(*socket, exchange);
     }
 }
 
-Task HostStub::say(tcp::socket& socket, std::string text) {
-    error_code ec;
-    co_await asio::async_write(socket, asio::buffer(text), into(ec));
+Task HostStub::send(tcp::socket& socket, std::string text) {
+    error_code ignored;
+    co_await asio::async_write(socket, asio::buffer(text), into(ignored));
 }
 
-Task HostStub::answer(tcp::socket& socket, const Exchange& exchange) {
-    while (mode_ == HostMode::hangs) co_await pause(io_, hang_look);
-    const auto says = [&](Oracle::HostSays what, const std::string& body = {}) {
-        oracle_.attempt_answered(exchange.trace, exchange.attempt, what, body);
-    };
-    if (mode_ == HostMode::errors && random_() % 2 == 0) {
-        says(Oracle::HostSays::never_ran);
-        co_return co_await say(socket, head(503, "X-Never-Ran: 1\r\n", 0));
-    }
-    if (at_work_ >= most_at_work) {
-        says(Oracle::HostSays::never_ran);
-        co_return co_await say(socket, head(503, "X-Never-Ran: 1\r\n", 0));
-    }
-    std::exponential_distribution<double> work(1 / (mode_ == HostMode::slow ? slow_work_ms : usual_work_ms));
-    ++at_work_;
-    co_await pause(io_, std::chrono::microseconds(static_cast<std::int64_t>(work(random_) * 1000)));
-    --at_work_;
-    if (mode_ == HostMode::errors) {
-        says(Oracle::HostSays::failed);
-        co_return co_await say(socket, head(500, "", 0));
-    }
-    if (mode_ == HostMode::resets && random_() % 2 == 0) co_return reset(socket);
-    if (mode_ == HostMode::spoils) co_return co_await answer_spoilt(socket, exchange);
-    std::string body = concat(exchange.trace, ":", number_, ":", ++served_);
-    if (random_() % one_large_in == 0) body.append(large_body, 'x');
-    says(Oracle::HostSays::served, body);
-    co_await say(socket, head(200, load_report, body.size()) + body);
+Task HostStub::wait_while_hanging() {
+    while (mode_ == HostMode::hanging) co_await sleep_for(io_, mode_poll_interval);
+}
+
+Task HostStub::execute() {
+    const double mean_ms = mode_ == HostMode::slow ? mean_slow_work_ms : mean_work_ms;
+    std::exponential_distribution<double> work_ms(1 / mean_ms);
+    ++in_flight_;
+    co_await sleep_for(io_, std::chrono::microseconds(static_cast<std::int64_t>(work_ms(random_) * 1000)));
+    --in_flight_;
+}
+
+Task HostStub::respond_to_health_check(tcp::socket& socket) {
+    co_await wait_while_hanging();
+    co_await send(socket, head(200, load_report_field, 0));
+}
+
+Task HostStub::respond(tcp::socket& socket, const Exchange& exchange) {
+    co_await wait_while_hanging();
+    if (mode_ == HostMode::erroring && random_() % 2 == 0)
+        co_return co_await respond_unexecuted(socket, exchange);
+    if (in_flight_ >= max_in_flight) co_return co_await respond_unexecuted(socket, exchange);
+    co_await execute();
+    if (mode_ == HostMode::erroring) co_return co_await respond_with_error(socket, exchange);
+    if (mode_ == HostMode::resetting && random_() % 2 == 0) co_return reset(socket);
+    if (mode_ == HostMode::corrupting) co_return co_await respond_corrupted(socket, exchange);
+    ++served_;
+    std::string body = concat(exchange.trace, ":", number_, ":", served_);
+    if (random_() % large_body_one_in == 0) body.append(large_body_bytes, 'x');
+    record_outcome(exchange, Outcome::success, body);
+    co_await send(socket, head(200, load_report_field, body.size()) + body);
+}
+
+Task HostStub::respond_unexecuted(tcp::socket& socket, const Exchange& exchange) {
+    record_outcome(exchange, Outcome::not_executed);
+    co_await send(socket, head(503, not_executed_field, 0));
+}
+
+Task HostStub::respond_with_error(tcp::socket& socket, const Exchange& exchange) {
+    record_outcome(exchange, Outcome::error);
+    co_await send(socket, head(500, "", 0));
 }
 
-// Its text is built here from plain pieces: a spoilt answer must not pass for one that was given.
-Task HostStub::answer_spoilt(tcp::socket& socket, const Exchange& exchange) {
+// The text is built here from plain pieces: a corrupted response must not pass for one that was given.
+Task HostStub::respond_corrupted(tcp::socket& socket, const Exchange& exchange) {
     const std::string body = exchange.trace + ":spoilt";
-    std::string half = head(200, "", body.size() + 100) + body;
+    std::string truncated = head(200, "", body.size() + 100) + body;
     std::string endless = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;";
-    std::string open_end = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body;
+    std::string without_length = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body;
     switch (random_() % 5) {
-        case 0:  // cut in the middle
-            co_await say(socket, half);
+        case 0:
+            co_await send(socket, truncated);
             co_return reset(socket);
         case 1:
-            endless.append(large_body, '1');
-            co_return co_await say(socket, endless);
-        case 2:  // no length, and a reset in place of the end
-            co_await say(socket, open_end);
+            endless.append(large_body_bytes, '1');
+            co_return co_await send(socket, endless);
+        case 2:  // a reset in place of the end
+            co_await send(socket, without_length);
             co_return reset(socket);
         case 3:
-            co_return co_await say(socket, "nothing that HTTP knows\r\n\r\n");
-        default:  // a second answer some milliseconds behind the first
-            oracle_.attempt_answered(exchange.trace, exchange.attempt, Oracle::HostSays::served, body);
-            co_await say(socket, head(200, "", body.size()) + body);
-            co_await pause(io_, late_second_answer);
-            co_await say(socket, head(200, "", 6) + "second");
+            co_return co_await send(socket, "nothing that HTTP knows\r\n\r\n");
+        default:  // a second response some milliseconds behind the first
+            record_outcome(exchange, Outcome::success, body);
+            co_await send(socket, head(200, "", body.size()) + body);
+            co_await sleep_for(io_, second_response_delay);
+            co_await send(socket, head(200, "", 6) + "second");
     }
 }
 
--- /dev/null
+++ b/tools/fault_soak/machine_faults.cpp
@@ -0,0 +1,57 @@
+// Faults of system calls, which the shim in the gateway processes injects, and of clients.
+#include "bad_client.h"
+#include "fault_injector.h"
+
+namespace fault_soak {
+namespace {
+
+constexpr std::int64_t clock_step_s = 3600;
+constexpr std::uint64_t bad_clients_at_once = 6;
+constexpr Duration bad_clients_take = 4s;
+
+}  // namespace
+
+Task FaultInjector::set_shim_rate(Fault fault, ShimRate rate, std::uint32_t thousandths) {
+    std::atomic<std::uint32_t>& value = (**gateway_of(fault).control).*rate;
+    value = thousandths;
+    co_await sleep_for(fault.length);
+    value = 0;
+}
+
+Task FaultInjector::shorten_io(Fault fault, std::uint32_t thousandths) {
+    ShimControl& control = **gateway_of(fault).control;
+    control.short_reads = thousandths;
+    co_await set_shim_rate(fault, &ShimControl::short_writes, thousandths);
+    control.short_reads = 0;
+}
+
+Task FaultInjector::step_wall_clock(Fault fault) {
+    MappedControl& control = *gateway_of(fault).control;
+    control->wall_clock_step_s = fault.variation % 2 == 0 ? clock_step_s : -clock_step_s;
+    co_await sleep_for(fault.length);
+    control->wall_clock_step_s = 0;
+}
+
+Task FaultInjector::run_bad_clients(Fault fault) {
+    GatewayUnderTest& gateway = gateway_of(fault);
+    const int process_count = gateway.process_count;
+    BadClientOptions options;
+    options.gateway = testbed_.load_balancer.gateways[static_cast<std::size_t>(fault.gateway)];
+    options.slack = testbed_.options.slack;
+    options.gateway_runs = [&gateway, process_count] {
+        return gateway.process_count == process_count && !gateway.changing;
+    };
+    for (std::uint64_t client = 0; client < bad_clients_at_once; ++client) {
+        options.variation = fault.variation + client;
+        asio::co_spawn(testbed_.io, run_bad_client(testbed_.io, options, testbed_.oracle), asio::detached);
+    }
+    co_await sleep_for(bad_clients_take);
+}
+
+Task FaultInjector::disconnect_clients(Fault fault) {
+    testbed_.client_behaviour.disconnects_early = true;
+    co_await sleep_for(fault.length);
+    testbed_.client_behaviour.disconnects_early = false;
+}
+
+}  // namespace fault_soak
--- a/tools/fault_soak/net.h
+++ b/tools/fault_soak/net.h
@@ -1,4 +1,4 @@
-// What the soak's parts share of the network.
+// Network names and helpers that the parts of the soak share. All sockets are on loopback.
 #pragma once
 
 #include <utility>
@@ -10,7 +10,7 @@
 #include <boost/beast/http.hpp>
 #include <string>
 
-#include "time.h"
+#include "clock.h"
 
 namespace fault_soak {
 
@@ -20,26 +20,30 @@
 using boost::system::error_code;
 using Task = asio::awaitable<void>;
 using HttpRequest = http::request<http::string_body>;
-using HttpAnswer = http::response<http::string_body>;
+using HttpResponse = http::response<http::string_body>;
 
-// A completion that tells an error by a code, not by an exception.
-inline auto into(error_code& ec) { return asio::redirect_error(asio::use_awaitable, ec); }
+// A completion token for coroutines that reports an error by its code, not by an exception.
+inline auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
-inline tcp::endpoint any_port() { return {asio::ip::address_v4::loopback(), 0}; }
-inline std::string text_of(const tcp::endpoint& endpoint) {
+// An address of loopback whose port the system chooses.
+[[nodiscard]] inline tcp::endpoint any_port() { return {asio::ip::address_v4::loopback(), 0}; }
+
+// As "127.0.0.1:8080".
+[[nodiscard]] inline std::string text_of(const tcp::endpoint& endpoint) {
     return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-inline Task pause(asio::io_context& io, Clock::duration span) {
-    asio::steady_timer timer(io, span);
-    error_code ec;
-    co_await timer.async_wait(into(ec));
+inline Task sleep_for(asio::io_context& io, Clock::duration duration) {
+    asio::steady_timer timer(io, duration);
+    error_code ignored;
+    co_await timer.async_wait(into(ignored));
 }
 
+// Closes with a TCP reset in place of an orderly end.
 inline void reset(tcp::socket& socket) {
-    error_code ec;
-    socket.set_option(asio::socket_base::linger(true, 0), ec);
-    socket.close(ec);
+    error_code ignored;
+    socket.set_option(asio::socket_base::linger(true, 0), ignored);
+    socket.close(ignored);
 }
 
 }  // namespace fault_soak
--- a/tools/fault_soak/oracle.cpp
+++ b/tools/fault_soak/oracle.cpp
@@ -9,38 +9,62 @@
 
 namespace fault_soak {
 namespace {
-constexpr std::array rule_names{"lost",        "duplicate",       "drain",         "refusal",
-                                "after_leave", "wrong_answer",    "told_too_long", "crash",
-                                "not_ready",   "bad_client_kept", "cold_host",     "own_guard"};
-// Every limit of the protocol is 50 ms longer on sockets; a gateway may be held up between its clock and its
-// write.
-constexpr Span socket_slack = 50ms, held_up = 150ms;
-constexpr Span lost_after = 500ms;         // beyond the client's time
-constexpr Span leave_grace = 100ms;        // an attempt may begin so long after its client has left
-constexpr Span told_slack = 150ms;         // of the time that an attempt tells
-constexpr Span accept_after_term = 700ms;  // requests that come later may be found unanswered by SIGKILL
-constexpr Span ready_within = 10s;
-constexpr Span kill_takes = 50ms;  // from the signal until no connection of the process takes anything
-constexpr unsigned ok = 200, too_many = 429, unavailable = 503;
 
-// What a host in slow start bears beyond its budget of calls is put down to chance.
+// In the order of Invariant.
+constexpr std::array invariant_names{"lost",        "duplicate",       "drain",         "refusal",
+                                     "after_leave", "wrong_answer",    "told_too_long", "crash",
+                                     "not_ready",   "bad_client_kept", "cold_host",     "own_guard"};
+// In the order of Oracle::HostOutcome.
+constexpr std::array outcome_names{"nothing", "served", "failed", "never ran"};
+
+// Every limit of the protocol is extended by this much on sockets.
+constexpr Duration socket_slack = 50ms;
+// A gateway may be delayed by this much between its look at the clock and its write.
+constexpr Duration write_delay = 150ms;
+// A response this long after the client's deadline counts as lost.
+constexpr Duration lost_after = 500ms;
+// An attempt may begin so long after its client has disconnected.
+constexpr Duration disconnect_grace = 100ms;
+// The deadline forwarded to a host may exceed the client's by this much.
+constexpr Duration deadline_slack = 150ms;
+// Requests that come later than this after SIGTERM may be unanswered at SIGKILL.
+constexpr Duration accept_after_terminate = 700ms;
+// Requests sent so long after the exit may still have met the process.
+constexpr Duration exit_notice = 1s;
+constexpr Duration ready_within = 10s;
+// From SIGKILL until no connection of the process takes anything.
+constexpr Duration kill_delay = 50ms;
+constexpr unsigned status_ok = 200;
+constexpr unsigned status_too_many_requests = 429;
+constexpr unsigned status_unavailable = 503;
+constexpr std::size_t quoted_body_bytes = 60;
+
+// The number of attempts that a Poisson process of mean `budget` exceeds only by a rare chance.
 double with_chance(double budget) {
     return budget < 30 ? budget + 3 * std::sqrt(budget) + 3 : budget + 2 * std::sqrt(budget) + 2;
 }
+
 }  // namespace
 
-const char* name_of(Rule rule) { return rule_names[static_cast<std::size_t>(rule)]; }
+const char* name_of(Invariant invariant) { return invariant_names[static_cast<std::size_t>(invariant)]; }
 
-Oracle::Oracle(RuleTerms terms, int gateways, int hosts)
-    : terms_(terms), gateways_(static_cast<std::size_t>(gateways)), hosts_(static_cast<std::size_t>(hosts)) {
-    for (HostLife& host : hosts_) {
-        host.told.resize(gateways_.size());
+Oracle::Oracle(OracleSettings settings, int gateways, int hosts)
+    : settings_(settings),
+      gateways_(static_cast<std::size_t>(gateways)),
+      hosts_(static_cast<std::size_t>(hosts)) {
+    for (HostHistory& host : hosts_) {
+        host.known.resize(gateways_.size());
         host.banned.resize(gateways_.size());
     }
 }
 
-void Oracle::violate(Rule rule, const std::string& trace, const std::string& text, Time at) {
-    violations_.push_back({rule, at, trace, text});
+Oracle::GatewayHistory& Oracle::gateway_history(int gateway) {
+    return gateways_[static_cast<std::size_t>(gateway)];
+}
+Oracle::HostHistory& Oracle::host_history(int host) { return hosts_[static_cast<std::size_t>(host)]; }
+
+void Oracle::report(Invariant invariant, const std::string& trace, const std::string& text, Time at) {
+    violations_.push_back({invariant, at, trace, text});
 }
 void Oracle::note(Request& request, Time at, std::string text) {
     request.events.emplace_back(at, std::move(text));
@@ -49,80 +73,76 @@
 // ---- gateways ----
 
 void Oracle::gateway_started(int gateway, Time at) {
-    GatewayLife& life = gateways_[static_cast<std::size_t>(gateway)];
-    life.started = at;
-    life.asked_to_end.reset();
+    GatewayHistory& history = gateway_history(gateway);
+    history.started = at;
+    history.terminated.reset();
 }
 void Oracle::gateway_ready(int gateway, Time at) {
-    const auto& started = gateways_[static_cast<std::size_t>(gateway)].started;
-    if (started && at - *started > ready_within + terms_.slack)
-        violate(Rule::not_ready, "", concat("gateway ", gateway), at);
-}
-void Oracle::gateway_asked_to_end(int gateway, Time at) {
-    gateways_[static_cast<std::size_t>(gateway)].asked_to_end = at;
+    const auto& started = gateway_history(gateway).started;
+    if (started && at - *started > ready_within + settings_.slack)
+        report(Invariant::ready_in_time, "", concat("gateway ", gateway), at);
 }
-void Oracle::gateway_killed(int gateway, Time at) {
-    gateways_[static_cast<std::size_t>(gateway)].killed.push_back(at);
-}
-void Oracle::gateway_ended(int gateway, Time at, bool expected) {
-    GatewayLife& life = gateways_[static_cast<std::size_t>(gateway)];
-    if (!expected) violate(Rule::crash, "", concat("gateway ", gateway, " ended unasked"), at);
-    if (life.asked_to_end) life.endings.emplace_back(*life.asked_to_end, at);
+void Oracle::gateway_terminated(int gateway, Time at) { gateway_history(gateway).terminated = at; }
+void Oracle::gateway_killed(int gateway, Time at) { gateway_history(gateway).kills.push_back(at); }
+void Oracle::gateway_exited(int gateway, Time at, bool expected) {
+    GatewayHistory& history = gateway_history(gateway);
+    if (!expected) report(Invariant::no_crash, "", concat("gateway ", gateway, " ended unasked"), at);
+    if (history.terminated) history.shutdowns.emplace_back(*history.terminated, at);
 }
 
 // ---- discovery ----
 
-void Oracle::host_leaves(int host, Time at) {
-    HostLife& life = hosts_[static_cast<std::size_t>(host)];
-    if (life.leaves) return;
-    life.leaves = at;
-    std::fill(life.told.begin(), life.told.end(), std::nullopt);
+void Oracle::host_withdrawn(int host, Time at) {
+    HostHistory& history = host_history(host);
+    if (history.withdrawn) return;
+    history.withdrawn = at;
+    std::fill(history.known.begin(), history.known.end(), std::nullopt);
 }
-void Oracle::host_back(int host, Time at, bool cold) {
-    HostLife& life = hosts_[static_cast<std::size_t>(host)];
-    life.leaves.reset();
-    if (cold) life.cold_since = at;
-    life.recent.clear();
+void Oracle::host_returned(int host, Time at, bool restarted) {
+    HostHistory& history = host_history(host);
+    history.withdrawn.reset();
+    if (restarted) history.slow_start = at;
+    history.recent_attempts.clear();
 }
-void Oracle::told(int gateway, Time of, Time at) {
-    for (HostLife& host : hosts_) {
-        auto& told = host.told[static_cast<std::size_t>(gateway)];
-        if (host.leaves && *host.leaves <= of && (!told || at < *told)) told = at;
+void Oracle::list_delivered(int gateway, Time list_time, Time at) {
+    for (HostHistory& host : hosts_) {
+        auto& known = host.known[static_cast<std::size_t>(gateway)];
+        if (host.withdrawn && *host.withdrawn <= list_time && (!known || at < *known)) known = at;
     }
 }
-
-void Oracle::banned(int gateway, int host, std::optional<Time> at) {
-    hosts_[static_cast<std::size_t>(host)].banned[static_cast<std::size_t>(gateway)] = at;
+void Oracle::host_banned(int gateway, int host, std::optional<Time> at) {
+    host_history(host).banned[static_cast<std::size_t>(gateway)] = at;
 }
 
 // ---- clients ----
 
-void Oracle::sent(const std::string& trace, Effect effect, int gateway, Time at, Time deadline) {
+void Oracle::request_sent(const std::string& trace, Idempotency idempotency, int gateway, Time at,
+                          Time deadline) {
     Request& request = requests_[trace];
-    request.effect = effect;
+    request.idempotency = idempotency;
     request.gateway = gateway;
     request.sent = at;
     request.deadline = deadline;
     note(request, at, concat("sent to gateway ", gateway));
-    ++figures_.requests;
+    ++counts_.requests;
 }
-void Oracle::sent_again(const std::string& trace, int gateway, Time at) {
+void Oracle::request_resent(const std::string& trace, int gateway, Time at) {
     Request& request = requests_[trace];
     request.gateway = gateway;
     request.sent = at;
     request.closed = false;
     note(request, at, concat("sent again, as its connection ended unread, to gateway ", gateway));
 }
-void Oracle::left(const std::string& trace, Time at) {
+void Oracle::client_disconnected(const std::string& trace, Time at) {
     Request& request = requests_[trace];
-    request.left = at;
-    ++figures_.left;
+    request.disconnected = at;
+    ++counts_.disconnected;
     note(request, at, "client left");
 }
-void Oracle::excuse(const std::string& trace, const char* why) {
+void Oracle::excuse(const std::string& trace, const char* reason) {
     Request& request = requests_[trace];
     request.excused = true;
-    note(request, Clock::now(), why);
+    note(request, Clock::now(), reason);
 }
 void Oracle::closed_unanswered(const std::string& trace, Time at) {
     Request& request = requests_[trace];
@@ -130,142 +150,166 @@
     note(request, at, "connection closed with no answer");
 }
 
-void Oracle::answered(const std::string& trace, unsigned status, const std::string& body, Time at) {
+void Oracle::response_received(const std::string& trace, unsigned status, const std::string& body, Time at) {
     Request& request = requests_[trace];
     request.answered = at;
     note(request, at, concat("answered with ", status));
-    if (at > request.deadline + lost_after + terms_.slack)
-        violate(Rule::lost, trace, "answered over half a second after its time", at);
-    if (status == ok) {
-        ++figures_.served;
-        const bool said =
-            std::any_of(request.attempts.begin(), request.attempts.end(),
-                        [&](const Attempt& a) { return a.says == HostSays::served && a.body == body; });
-        if (!said)
-            violate(Rule::wrong_answer, trace, concat("no host has answered with '", body.substr(0, 60), "'"),
-                    at);
-        return;
+    if (at > request.deadline + lost_after + settings_.slack)
+        report(Invariant::request_answered, trace, "answered over half a second after its time", at);
+    if (status == status_ok) {
+        ++counts_.succeeded;
+        check_response(trace, request, body, at);
+    } else if (status == status_too_many_requests || status == status_unavailable) {
+        ++counts_.rejected;
+        check_rejection(trace, request, at);
+    } else {
+        ++counts_.failed;
     }
-    const bool refused = status == too_many || status == unavailable;
-    ++(refused ? figures_.refused : figures_.failed);
-    if (refused) judge_refusal(trace, request, at);
 }
-void Oracle::judge_refusal(const std::string& trace, const Request& request, Time at) {
-    if (request.effect == Effect::safe) return;
-    const bool may_have_run = std::any_of(request.attempts.begin(), request.attempts.end(),
-                                          [](const Attempt& a) { return a.says != HostSays::never_ran; });
-    if (may_have_run) violate(Rule::refusal, trace, "refused though it may have run", at);
+void Oracle::check_response(const std::string& trace, const Request& request, const std::string& body,
+                            Time at) {
+    const bool given_by_a_host =
+        std::any_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& attempt) {
+            return attempt.outcome == HostOutcome::success && attempt.body == body;
+        });
+    if (!given_by_a_host)
+        report(Invariant::genuine_response, trace,
+               concat("no host has answered with '", body.substr(0, quoted_body_bytes), "'"), at);
+}
+void Oracle::check_rejection(const std::string& trace, const Request& request, Time at) {
+    if (request.idempotency == Idempotency::idempotent) return;
+    const bool may_have_run =
+        std::any_of(request.attempts.begin(), request.attempts.end(),
+                    [](const Attempt& attempt) { return attempt.outcome != HostOutcome::not_executed; });
+    if (may_have_run) report(Invariant::safe_rejection, trace, "refused though it may have run", at);
 }
 
 // ---- hosts ----
 
-std::size_t Oracle::attempt(const std::string& trace, int gateway, int host, const std::string& zone,
-                            Time first_byte, Time at, std::int64_t told_ms) {
-    ++figures_.attempts;
+std::size_t Oracle::attempt_received(const std::string& trace, int gateway, int host, const std::string& zone,
+                                     Time first_byte, Time at, std::int64_t forwarded_ms) {
+    ++counts_.attempts;
     const auto found = requests_.find(trace);
     if (found == requests_.end()) {
-        violate(Rule::duplicate, trace, "a request that no client sent", at);
+        report(Invariant::no_duplicate, trace, "a request that no client sent", at);
         return 0;
     }
     Request& request = found->second;
-    Attempt next{gateway, host, zone, {}, first_byte, at, HostSays::nothing};
+    const Attempt attempt{gateway, host, zone, {}, first_byte, at, HostOutcome::no_response};
     note(request, first_byte, concat("attempt by gateway ", gateway, " at host ", host));
-    if (request.left && first_byte > *request.left + leave_grace + terms_.slack)
-        violate(Rule::after_leave, trace, "an attempt after its client had left", first_byte);
-    const Span left = std::chrono::duration_cast<Span>(request.deadline - first_byte);
-    if (told_ms > (std::max(left, Span(0)) + told_slack + terms_.slack).count())
-        violate(Rule::told_too_long, trace, concat("told ", told_ms, " ms of ", left.count(), " left"),
-                first_byte);
-    judge_duplicate(trace, request, next);
-    judge_drain(trace, next);
-    judge_cold(trace, hosts_[static_cast<std::size_t>(host)], at);
-    request.attempts.push_back(next);
+    check_disconnect(trace, request, attempt);
+    check_deadline(trace, request, attempt, forwarded_ms);
+    check_duplicate(trace, request, attempt);
+    check_drain(trace, attempt);
+    check_slow_start(trace, host_history(host), at);
+    request.attempts.push_back(attempt);
     return request.attempts.size() - 1;
 }
-void Oracle::attempt_answered(const std::string& trace, std::size_t attempt, HostSays says,
-                              const std::string& body) {
+void Oracle::attempt_ended(const std::string& trace, std::size_t attempt, HostOutcome outcome,
+                           const std::string& body) {
     const auto found = requests_.find(trace);
     if (found == requests_.end() || attempt >= found->second.attempts.size()) return;
-    Attempt& answered = found->second.attempts[attempt];
-    answered.says = says;
-    answered.body = body;
-    constexpr std::array names{"nothing", "served", "failed", "never ran"};
+    Attempt& ended = found->second.attempts[attempt];
+    ended.outcome = outcome;
+    ended.body = body;
     note(found->second, Clock::now(),
-         concat("host ", answered.host, " says ", names[static_cast<std::size_t>(says)]));
+         concat("host ", ended.host, " says ", outcome_names[static_cast<std::size_t>(outcome)]));
 }
 
-void Oracle::judge_duplicate(const std::string& trace, Request& request, const Attempt& next) {
-    if (request.effect == Effect::safe) return;
+void Oracle::check_disconnect(const std::string& trace, const Request& request, const Attempt& attempt) {
+    if (!request.disconnected) return;
+    if (attempt.first_byte > *request.disconnected + disconnect_grace + settings_.slack)
+        report(Invariant::disconnect_honoured, trace, "an attempt after its client had left",
+               attempt.first_byte);
+}
+void Oracle::check_deadline(const std::string& trace, const Request& request, const Attempt& attempt,
+                            std::int64_t forwarded_ms) {
+    const auto left = std::chrono::duration_cast<Duration>(request.deadline - attempt.first_byte);
+    if (forwarded_ms > (std::max(left, Duration(0)) + deadline_slack + settings_.slack).count())
+        report(Invariant::deadline_forwarded, trace,
+               concat("told ", forwarded_ms, " ms of ", left.count(), " left"), attempt.first_byte);
+}
+void Oracle::check_duplicate(const std::string& trace, const Request& request, const Attempt& attempt) {
+    if (request.idempotency == Idempotency::idempotent) return;
     for (const Attempt& earlier : request.attempts) {
-        if (earlier.says == HostSays::never_ran) continue;
-        const bool known = request.effect == Effect::keyed && earlier.zone == next.zone &&
-                           next.first_byte - earlier.first_byte < terms_.repeat_window + terms_.slack;
-        if (!known) violate(Rule::duplicate, trace, "a further attempt though it may have run", next.at);
+        if (earlier.outcome == HostOutcome::not_executed) continue;
+        const bool deduplicated =
+            request.idempotency == Idempotency::with_key && earlier.zone == attempt.zone &&
+            attempt.first_byte - earlier.first_byte < settings_.deduplication_window + settings_.slack;
+        if (!deduplicated)
+            report(Invariant::no_duplicate, trace, "a further attempt though it may have run",
+                   attempt.received);
     }
 }
-void Oracle::judge_drain(const std::string& trace, const Attempt& attempt) {
-    const HostLife& host = hosts_[static_cast<std::size_t>(attempt.host)];
+void Oracle::check_drain(const std::string& trace, const Attempt& attempt) {
+    const HostHistory& host = host_history(attempt.host);
     const auto& banned = host.banned[static_cast<std::size_t>(attempt.gateway)];
-    const auto& listed = host.told[static_cast<std::size_t>(attempt.gateway)];
-    const auto& told = banned ? banned : listed;
-    if (!told || (!banned && !host.leaves)) return;
-    const Span late = std::chrono::duration_cast<Span>(attempt.first_byte - *told);
-    if (late > terms_.drain_grace + socket_slack + held_up + terms_.slack)
-        violate(Rule::drain, trace,
-                concat("sent to host ", attempt.host, " ", late.count(), " ms after gateway ",
-                       attempt.gateway, " was told that it leaves"),
-                attempt.first_byte);
+    const auto& listed = host.known[static_cast<std::size_t>(attempt.gateway)];
+    const auto& known = banned ? banned : listed;
+    if (!known || (!banned && !host.withdrawn)) return;
+    const auto late = std::chrono::duration_cast<Duration>(attempt.first_byte - *known);
+    if (late > settings_.drain_grace + socket_slack + write_delay + settings_.slack)
+        report(Invariant::drain_respected, trace,
+               concat("sent to host ", attempt.host, " ", late.count(), " ms after gateway ", attempt.gateway,
+                      " was told that it leaves"),
+               attempt.first_byte);
 }
-void Oracle::judge_cold(const std::string& trace, HostLife& host, Time at) {
-    if (!host.cold_since || at - *host.cold_since > terms_.cold) return;
-    host.recent.push_back(at);
-    std::erase_if(host.recent, [&](Time t) { return t < at - terms_.fall; });
-    const double age = seconds(at - *host.cold_since) / seconds(terms_.cold);
-    const double capacity = terms_.cold_from + (1 - terms_.cold_from) * age;
-    const double budget = terms_.overload_factor * capacity * terms_.warm_per_second * seconds(terms_.fall);
-    if (static_cast<double>(host.recent.size()) > with_chance(budget))
-        violate(Rule::cold_host, trace, concat(host.recent.size(), " requests within its budget's time"), at);
+void Oracle::check_slow_start(const std::string& trace, HostHistory& host, Time at) {
+    if (!host.slow_start || at - *host.slow_start > settings_.slow_start_time) return;
+    host.recent_attempts.push_back(at);
+    std::erase_if(host.recent_attempts, [&](Time attempt) { return attempt < at - settings_.overload_time; });
+    const double progress = seconds(at - *host.slow_start) / seconds(settings_.slow_start_time);
+    const double capacity = settings_.slow_start_capacity + (1 - settings_.slow_start_capacity) * progress;
+    const double budget = settings_.overload_multiple * capacity * settings_.full_requests_per_second *
+                          seconds(settings_.overload_time);
+    if (static_cast<double>(host.recent_attempts.size()) > with_chance(budget))
+        report(Invariant::slow_start_budget, trace,
+               concat(host.recent_attempts.size(), " requests within its budget's time"), at);
 }
 
-// ---- the end ----
+// ---- results ----
 
-// Killed with the request in hand, or ended on request when it came too late to be owed an answer.
+// Its gateway was killed with the request in flight, or shut down when the request came too late to be owed a
+// response.
 bool Oracle::excused_by_gateway(const Request& request) const {
-    const GatewayLife& life = gateways_[static_cast<std::size_t>(request.gateway)];
-    const Time over = request.deadline + lost_after;
-    const bool killed = std::any_of(life.killed.begin(), life.killed.end(),
-                                    [&](Time t) { return t + kill_takes >= request.sent && t <= over; });
-    const bool late = std::any_of(life.endings.begin(), life.endings.end(), [&](const auto& ending) {
-        return request.sent > ending.first + accept_after_term && request.sent <= ending.second + 1s;
+    const GatewayHistory& history = gateways_[static_cast<std::size_t>(request.gateway)];
+    const Time lost_at = request.deadline + lost_after;
+    const bool killed = std::any_of(history.kills.begin(), history.kills.end(), [&](Time kill) {
+        return kill + kill_delay >= request.sent && kill <= lost_at;
     });
+    const bool late =
+        std::any_of(history.shutdowns.begin(), history.shutdowns.end(), [&](const auto& shutdown) {
+            const auto& [terminated, exited] = shutdown;
+            return request.sent > terminated + accept_after_terminate && request.sent <= exited + exit_notice;
+        });
     return killed || late;
 }
 
 void Oracle::finish() {
     for (auto& [trace, request] : requests_) {
-        if (request.answered || request.left) continue;
+        if (request.answered || request.disconnected) continue;
         if (request.excused || excused_by_gateway(request)) {
-            ++figures_.excused;
+            ++counts_.excused;
             continue;
         }
-        ++figures_.unanswered;
-        violate(Rule::lost, trace,
-                request.closed ? "its connection was closed with no answer" : "never answered",
-                request.deadline);
+        ++counts_.unanswered;
+        report(Invariant::request_answered, trace,
+               request.closed ? "its connection was closed with no answer" : "never answered",
+               request.deadline);
     }
 }
 
-std::string Oracle::story(const std::string& trace, Time origin) const {
+std::string Oracle::trace_text(const std::string& trace, Time origin) const {
     const auto found = requests_.find(trace);
     if (found == requests_.end()) return {};
     auto events = found->second.events;
     events.emplace_back(found->second.deadline, "(its deadline)");
     std::stable_sort(events.begin(), events.end(),
-                     [](const auto& a, const auto& b) { return a.first < b.first; });
+                     [](const auto& left, const auto& right) { return left.first < right.first; });
     std::string text;
-    for (const auto& [at, what] : events) {
+    for (const auto& [at, event] : events) {
         char line[200];
-        std::snprintf(line, sizeof line, "    %8.4f s  %s\n", seconds(at - origin), what.c_str());
+        std::snprintf(line, sizeof line, "    %8.4f s  %s\n", seconds(at - origin), event.c_str());
         text += line;
     }
     return text;
--- a/tools/fault_soak/text.h
+++ b/tools/fault_soak/text.h
@@ -1,4 +1,4 @@
-// Texts put together from words and numbers.
+// Joins words and numbers to one text.
 #pragma once
 
 #include <string>
@@ -13,8 +13,9 @@
     text.append(std::to_string(number));
 }
 
+// Numbers are written as std::to_string() writes them.
 template <class... Parts>
-std::string concat(const Parts&... parts) {
+[[nodiscard]] std::string concat(const Parts&... parts) {
     std::string text;
     (append_to(text, parts), ...);
     return text;
