--- a/bench/scale/fleet.h
+++ b/bench/scale/fleet.h
@@ -13,7 +13,7 @@
 
 namespace gateway::scale {
 
-// What has happened in the whole fleet.
+// What has happened in the fleet.
 struct FleetCounts {
     std::uint64_t requests = 0;
     std::uint64_t admitted = 0;  // attempts sent
--- a/src/simulator_adapter/simulator_wire.h
+++ b/src/simulator_adapter/simulator_wire.h
@@ -2,7 +2,7 @@
 // of the simulated fleet.
 //
 // A line is an array of a message name and values. A batch begins with a Turn line, which sets the clock, and
-// ends with an EofBatch line, which is answered with the actions of the whole batch. Message names and values
+// ends with an EofBatch line, which is answered with the actions of the batch. Message names and values
 // that this version does not know are ignored.
 #pragma once
 
--- a/tests/simulator_adapter/simulator_wire_test.cpp
+++ b/tests/simulator_adapter/simulator_wire_test.cpp
@@ -74,6 +74,17 @@
     EXPECT_NE(error_of({R"(["Turn",5])", R"(["Turn",4])"}).find("does not go back"), std::string::npos);
 }
 
+TEST(SimulatorWire, AnErrorKnowsItsLine) {
+    SimulatorWire wire;
+    feed(wire, {R"(["Turn",5])", "", R"(["EofBatch"])"});
+    try {
+        feed(wire, {R"(["Turn",4])"});
+        FAIL() << "a clock that goes back was taken";
+    } catch (const WireError& error) {
+        EXPECT_EQ(error.line_number(), 4u);
+    }
+}
+
 TEST(SimulatorWire, Base64) {
     for (const std::string text : {"", "a", "ab", "abc", "abcd"}) {
         std::string encoded;
