--- /dev/null
+++ b/tests/decision/unit/event_context.h
@@ -0,0 +1,67 @@
+// A context at a chosen time, with the actions that the module under test emits.
+#pragma once
+
+#include <cstdint>
+#include <variant>
+#include <vector>
+
+#include "context.h"
+#include "peer_message.h"
+
+namespace gateway::decision {
+
+inline constexpr Micros start_time = std::chrono::seconds(100);
+inline constexpr std::uint64_t random_seed = 7;
+
+// Settings of a fleet with one request class. Plans and permissions are the test's to add.
+inline Settings fleet_settings(int instances, int rank = 0) {
+    Settings settings;
+    settings.instances = instances;
+    settings.rank = rank;
+    settings.messages_per_s = 100;
+    RequestClass request_class;
+    request_class.latency_objective = std::chrono::seconds(1);
+    request_class.deadline = std::chrono::seconds(10);
+    settings.classes.push_back(request_class);
+    return settings;
+}
+
+// Begins an event at `start_time`, when the process is not stalled.
+class EventContext {
+  public:
+    explicit EventContext(Settings settings = fleet_settings(1))
+        : context(std::move(settings), random_seed, start_time) {
+        context.begin_event(start_time, actions);
+        context.heartbeat();
+        actions.clear();
+    }
+
+    // Begins an event so long after the current one.
+    void advance(Micros elapsed) { context.begin_event(context.now() + elapsed, actions); }
+
+    // The emitted actions of one kind, in order.
+    template <class Kind>
+    [[nodiscard]] std::vector<Kind> emitted() const {
+        std::vector<Kind> of_kind;
+        for (const Action& action : actions)
+            if (const auto* found = std::get_if<Kind>(&action)) of_kind.push_back(*found);
+        return of_kind;
+    }
+
+    // The peer messages of one kind in all messages sent, in order.
+    template <class Message>
+    [[nodiscard]] std::vector<Message> sent_to_peers() const {
+        std::vector<Message> of_kind;
+        for (const SendMessage& sent : emitted<SendMessage>()) {
+            const std::vector<PeerMessage> messages = unpack(sent.bytes).value();
+            for (const PeerMessage& message : messages)
+                if (const auto* found = std::get_if<Message>(&message)) of_kind.push_back(*found);
+        }
+        return of_kind;
+    }
+
+    Actions actions;
+    Context context;
+};
+
+}  // namespace gateway::decision
--- /dev/null
+++ b/tests/decision/unit/health_checker_test.cpp
@@ -0,0 +1,51 @@
+#include "health_checker.h"
+
+#include <gtest/gtest.h>
+
+#include "event_context.h"
+
+namespace gateway::decision {
+namespace {
+
+TEST(HealthChecker, ChecksBeyondTheBudgetAreRefusedAndCostNothing) {
+    EventContext event;
+    HealthChecker checker(event.context);
+
+    checker.earn();  // no more than four are saved
+
+    EXPECT_FALSE(checker.take(5));
+    EXPECT_TRUE(checker.take(4));
+    EXPECT_FALSE(checker.take(1));
+    EXPECT_TRUE(checker.take(0));
+}
+
+TEST(HealthChecker, ARequestEarnsThisGatewaysPartOfTwelveChecks) {
+    EventContext event(fleet_settings(24));
+    HealthChecker checker(event.context);
+    ASSERT_TRUE(checker.take(4));
+
+    checker.earn();
+    EXPECT_FALSE(checker.take(1));
+    checker.earn();
+    EXPECT_TRUE(checker.take(1));
+}
+
+TEST(HealthChecker, RequestsThatWaitForTheSameHostShareOneCheck) {
+    EventContext event;
+    HealthChecker checker(event.context);
+    Host host;
+    host.entry.host = "host";
+
+    checker.request(host, 1);
+    checker.request(host, 2);
+    ASSERT_EQ(event.emitted<CheckHealth>().size(), 1u);
+    EXPECT_EQ(event.emitted<CheckHealth>()[0].host, "host");
+    EXPECT_EQ(HealthChecker::finish(host), (std::vector<RequestId>{1, 2}));
+    EXPECT_TRUE(HealthChecker::finish(host).empty());
+
+    checker.request(host, 3);
+    EXPECT_EQ(event.emitted<CheckHealth>().size(), 2u) << "the check before it has ended";
+}
+
+}  // namespace
+}  // namespace gateway::decision
--- /dev/null
+++ b/tests/decision/unit/retry_policy_test.cpp
@@ -0,0 +1,50 @@
+#include "retry_policy.h"
+
+#include <gtest/gtest.h>
+
+#include "event_context.h"
+
+namespace gateway::decision {
+namespace {
+using namespace std::chrono_literals;
+
+class RetryPolicyTest : public testing::Test {
+  protected:
+    // Takes retries until the budget is spent and returns how many there were.
+    int take_all() {
+        int taken = 0;
+        while (retries.take()) ++taken;
+        return taken;
+    }
+
+    EventContext event;
+    RetryPolicy retries{event.context};
+};
+
+TEST_F(RetryPolicyTest, FiveRetriesNeedNoRequestsToEarnThem) { EXPECT_EQ(take_all(), 5); }
+
+TEST_F(RetryPolicyTest, AHundredRequestsEarnFifteenRetriesMore) {
+    for (int sent = 0; sent < 100; ++sent) retries.record_first_attempt();
+
+    EXPECT_EQ(take_all(), 20);
+}
+
+TEST_F(RetryPolicyTest, ASpentBudgetRecoversAsRetriesAreForgotten) {
+    ASSERT_EQ(take_all(), 5);
+
+    event.advance(10s);
+
+    // 5/e of the retries still count.
+    EXPECT_EQ(take_all(), 3);
+}
+
+TEST_F(RetryPolicyTest, WhatRequestsOfLongAgoEarnedIsForgotten) {
+    for (int sent = 0; sent < 100; ++sent) retries.record_first_attempt();
+
+    event.advance(1h);
+
+    EXPECT_EQ(take_all(), 5);
+}
+
+}  // namespace
+}  // namespace gateway::decision
--- /dev/null
+++ b/tests/decision/unit/warm_up_limiter_test.cpp
@@ -0,0 +1,64 @@
+#include "warm_up_limiter.h"
+
+#include <gtest/gtest.h>
+
+#include "event_context.h"
+
+namespace gateway::decision {
+namespace {
+using namespace std::chrono_literals;
+
+// 10 units a second when warm. The limiter then stores 20 permits, 10 of them above the threshold.
+constexpr double stable_interval_s = 0.1;
+constexpr double warm_up_s = 2;
+constexpr double all_permits = 20;
+// Of a permit from a full store: nearly the cold factor of 3.
+constexpr double cold_interval_s = 0.29;
+constexpr double microsecond = 1e-6;
+
+class WarmUpLimiterTest : public testing::Test {
+  protected:
+    WarmUpLimiterTest() { limiter.refill(start_time, stable_interval_s, warm_up_s); }
+
+    // Reserves so many permits and returns by how much the next request is delayed, in seconds.
+    double delay_of(double permits) {
+        const Micros before = limiter.next_free();
+        limiter.reserve(permits, stable_interval_s, warm_up_s);
+        return to_seconds(limiter.next_free() - before);
+    }
+
+    WarmUpLimiter limiter;
+};
+
+TEST_F(WarmUpLimiterTest, TheFirstRequestGoesAtOnceAndDelaysTheNextByAColdInterval) {
+    EXPECT_EQ(limiter.next_free(), start_time);
+    EXPECT_NEAR(delay_of(1), cold_interval_s, microsecond);
+}
+
+TEST_F(WarmUpLimiterTest, AfterAllStoredPermitsAreSpentTheStableIntervalHolds) {
+    // 2 s to warm up, then 10 permits below the threshold.
+    EXPECT_NEAR(delay_of(all_permits), warm_up_s + 1, microsecond);
+    EXPECT_NEAR(delay_of(1), stable_interval_s, microsecond);
+}
+
+TEST_F(WarmUpLimiterTest, NoPermitIsStoredBeforeTheNextRequestMayGo) {
+    delay_of(all_permits);
+    const Micros next_free = limiter.next_free();
+
+    limiter.refill(next_free - 1us, stable_interval_s, warm_up_s);
+
+    EXPECT_EQ(limiter.next_free(), next_free);
+    EXPECT_NEAR(delay_of(1), stable_interval_s, microsecond);
+}
+
+TEST_F(WarmUpLimiterTest, IsColdAgainAfterAnIdleWarmUpTimeAndNoColderLater) {
+    delay_of(all_permits);
+    limiter.refill(limiter.next_free() + 2s, stable_interval_s, warm_up_s);
+    EXPECT_NEAR(delay_of(1), cold_interval_s, microsecond);
+
+    limiter.refill(limiter.next_free() + 1h, stable_interval_s, warm_up_s);
+    EXPECT_NEAR(delay_of(1), cold_interval_s, microsecond);
+}
+
+}  // namespace
+}  // namespace gateway::decision
