--- /dev/null
+++ b/tests/decision/unit/host_selector_test.cpp
@@ -0,0 +1,118 @@
+#include "host_selector.h"
+
+#include <gtest/gtest.h>
+
+#include "event_context.h"
+
+namespace gateway::decision {
+namespace {
+using namespace std::chrono_literals;
+
+// A lone gateway: a host's limit is 2 attempts in flight at first.
+class HostSelectorTest : public testing::Test {
+  protected:
+    static Settings slow_start_settings() {
+        Settings settings = fleet_settings(1);
+        settings.zone = "near";
+        settings.cross_zone_cost = 0.1;
+        settings.max_attempts = 2;
+        settings.slow_start_time = 10s;
+        settings.slow_start_capacity = 0.2;
+        return settings;
+    }
+    Host& list(const std::string& name, const std::string& zone = "near", Micros started = 0us) {
+        HostsChanged change;
+        HostEntry& entry = change.entries.emplace_back();
+        entry.host = name;
+        entry.zone = zone;
+        entry.started = started;
+        hosts.update(change);
+        hosts.refresh_order();
+        return *hosts.find(name);
+    }
+
+    EventContext event{slow_start_settings()};
+    RequestRules rules{event.context.settings()};
+    SlowStart slow_start{event.context};
+    HostRegistry hosts{event.context, slow_start};
+    LoadEstimator load{event.context, hosts};
+    OutlierDetector outliers{event.context, load};
+    HostSelector selector{event.context, rules, hosts, slow_start, load, outliers};
+    Request request;
+};
+
+TEST_F(HostSelectorTest, TheBestTwoHostsAreSelectedTheBestFirst) {
+    EXPECT_TRUE(selector.select(request).empty());
+    Host& idle = list("idle");
+    EXPECT_EQ(selector.select(request), std::vector<Host*>{&idle});
+
+    Host& busy = list("busy");
+    busy.load.in_flight = 1;
+    Host& far = list("far", "distant");
+    far.load.in_flight = 1;
+    EXPECT_EQ(selector.select(request), (std::vector<Host*>{&idle, &busy})) << "another zone costs more";
+}
+
+TEST_F(HostSelectorTest, AHostThatCannotTakeTheRequestIsLeftOut) {
+    list("draining").entry.state = HostState::draining;
+    list("banned").banned = true;
+    list("ejected").outlier.ejected_until = start_time + 1us;
+    list("full").load.in_flight = 2;
+    EXPECT_TRUE(selector.select(request).empty());
+
+    Host& available = list("available");
+    EXPECT_EQ(selector.select(request), std::vector<Host*>{&available});
+}
+
+TEST_F(HostSelectorTest, ARetryGoesToAnotherHostWhereThereIsOne) {
+    Host& last = list("last");
+    request.last_host = "last";
+    EXPECT_EQ(selector.select(request), std::vector<Host*>{&last});
+
+    Host& other = list("other");
+    EXPECT_EQ(selector.select(request), (std::vector<Host*>{&other, &last}));
+}
+
+TEST_F(HostSelectorTest, WhatTheRulesForbidIsNotSelected) {
+    Host& host = list("host");
+    EXPECT_TRUE(selector.may_take(host, request));
+
+    request.history.begin_attempt(0, {}, start_time);
+    EXPECT_FALSE(selector.may_take(host, request)) << "a hedged request is not allowed";
+    EXPECT_TRUE(selector.select(request).empty());
+    request.history.end_attempt(0, Outcome::error);
+    EXPECT_TRUE(selector.may_take(host, request));
+    request.history.begin_attempt(1, {}, start_time);
+    request.history.end_attempt(1, Outcome::error);
+    EXPECT_FALSE(selector.may_take(host, request)) << "both attempts are used up";
+}
+
+TEST_F(HostSelectorTest, AWarmingHostIsLeftOutWhileItsShareIsNotDue) {
+    Host& warming = list("warming", "near", start_time);
+    EXPECT_EQ(selector.select(request), std::vector<Host*>{&warming}) << "no warm host could serve";
+
+    Host& warm = list("warm");
+    warm.load.in_flight = 1;
+    EXPECT_EQ(selector.select(request), std::vector<Host*>{&warm});
+}
+
+TEST_F(HostSelectorTest, TheBestCandidateHasCapacityByItsReportOrItsLimit) {
+    Host& full = list("full");
+    full.load.in_flight = 2;
+    Host& busy = list("busy");
+    busy.load.in_flight = 1;
+    request.candidates = {&full};
+    EXPECT_EQ(selector.best_candidate(request), nullptr);
+    request.candidates = {&full, &busy};
+    EXPECT_EQ(selector.best_candidate(request), &busy);
+
+    LoadReport nothing_queued;
+    nothing_queued.queued = 0;
+    load.record_report(full, nothing_queued);
+    EXPECT_TRUE(selector.has_capacity(full)) << "whatever the limit learned";
+    event.advance(250ms);
+    EXPECT_FALSE(selector.has_capacity(full)) << "the report is no longer fresh";
+}
+
+}  // namespace
+}  // namespace gateway::decision
--- /dev/null
+++ b/tests/decision/unit/slow_start_test.cpp
@@ -0,0 +1,92 @@
+#include "slow_start.h"
+
+#include <gtest/gtest.h>
+
+#include "event_context.h"
+
+namespace gateway::decision {
+namespace {
+using namespace std::chrono_literals;
+
+constexpr Micros warming_time = 10s;
+
+class SlowStartTest : public testing::Test {
+  protected:
+    static Settings slow_start_settings() {
+        Settings settings = fleet_settings(1);
+        settings.slow_start_time = warming_time;
+        settings.slow_start_capacity = 0.2;
+        return settings;
+    }
+    static Host host_started(const std::string& name, Micros started) {
+        Host host;
+        host.entry.host = name;
+        host.entry.started = started;
+        host.slow_start.considered_at = start_time;
+        return host;
+    }
+
+    EventContext event{slow_start_settings()};
+    SlowStart slow_start{event.context};
+    Host warm = host_started("warm", 0us);
+    Host warming = host_started("warming", start_time);
+};
+
+TEST_F(SlowStartTest, TheCapacityGrowsEvenlyFromTheStartOn) {
+    EXPECT_DOUBLE_EQ(slow_start.capacity_share(warm), 1) << "started long ago";
+    EXPECT_DOUBLE_EQ(slow_start.capacity_share(warming), 0.2);
+    EXPECT_DOUBLE_EQ(slow_start.capacity_share(host_started("future", start_time + 1s)), 0.2);
+
+    event.advance(warming_time / 2);
+    EXPECT_DOUBLE_EQ(slow_start.capacity_share(warming), 0.6);
+    event.advance(warming_time / 2);
+    EXPECT_DOUBLE_EQ(slow_start.capacity_share(warming), 1);
+}
+
+TEST_F(SlowStartTest, AWarmingHostIsRestrictedOnlyWhileAWarmOneCouldServe) {
+    slow_start.update(warming);
+    EXPECT_FALSE(slow_start.restricts(warming));
+
+    slow_start.update(warm);
+    EXPECT_TRUE(slow_start.restricts(warming));
+    EXPECT_FALSE(slow_start.restricts(warm));
+
+    warm.entry.state = HostState::draining;
+    slow_start.update(warm);
+    EXPECT_FALSE(slow_start.restricts(warming));
+}
+
+TEST_F(SlowStartTest, ARequestIsAdmittedByWhatHasComeDueSinceTheLastConsideration) {
+    const double small_request = 0.001;
+    slow_start.update(warm);
+    slow_start.update(warming);
+    slow_start.record_sent(warm, 1000);
+    event.advance(1s);
+
+    EXPECT_TRUE(slow_start.admits(warming, small_request));
+    EXPECT_FALSE(slow_start.admits(warming, small_request)) << "no time has passed since";
+}
+
+TEST_F(SlowStartTest, NothingIsAdmittedWhileNothingIsSentToWarmHosts) {
+    slow_start.update(warm);
+    slow_start.update(warming);
+    event.advance(1s);
+
+    EXPECT_FALSE(slow_start.admits(warming, 1));
+}
+
+TEST_F(SlowStartTest, AHostCountsAsWarmFromTheEndOfItsWarmingUp) {
+    slow_start.update(warming);
+    event.advance(warming_time - 1us);
+    slow_start.refresh();
+    EXPECT_FALSE(warming.slow_start.counted);
+    EXPECT_TRUE(warming.slow_start.awaited);
+
+    event.advance(1us);
+    slow_start.refresh();
+    EXPECT_TRUE(warming.slow_start.counted);
+    EXPECT_FALSE(warming.slow_start.awaited);
+}
+
+}  // namespace
+}  // namespace gateway::decision
