--- a/src/server/handover.cpp
+++ b/src/server/handover.cpp
@@ -20,11 +20,17 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t most_text = 64 * 1024;  // of a message
-constexpr auto accept_again = 20ms;           // after an accept that failed
-constexpr auto send_again = 5ms;  // while more descriptors are on their way than the kernel allows
-
-// The folder's own path may be longer than the address of a socket can be: the name within it is short.
+constexpr std::size_t max_payload_bytes = 64 * 1024;
+constexpr auto accept_retry_interval = 20ms;  // after an accept that failed
+// While more descriptors are in transit than the kernel allows.
+constexpr auto send_retry_interval = 5ms;
+constexpr int listen_backlog = 4;
+// The prefix of the socket's name. It stays letter for letter, although the name is no longer that of the
+// program, because processes of earlier releases have to be found, and have to find this one.
+constexpr const char* socket_name_prefix = "spartrack-";
+
+// Addresses the socket through the open folder, because the folder's own path may be longer than the address
+// of a socket can be.
 std::optional<sockaddr_un> address_in(const Descriptor& folder, const std::string& name) {
     sockaddr_un address{};
     address.sun_family = AF_UNIX;
@@ -33,12 +39,36 @@
     if (length < 0 || static_cast<std::size_t>(length) >= sizeof address.sun_path) return std::nullopt;
     return address;
 }
+
 Descriptor open_folder(const std::string& folder) {
     return Descriptor(folder.empty() ? -1 : ::open(folder.c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC));
 }
+
 Descriptor make_socket() {
     return Descriptor(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
 }
+
+Descriptor received_descriptor(msghdr& header) {
+    const cmsghdr* const control = CMSG_FIRSTHDR(&header);
+    if (control == nullptr || control->cmsg_level != SOL_SOCKET || control->cmsg_type != SCM_RIGHTS)
+        return {};
+    int number = -1;
+    std::memcpy(&number, CMSG_DATA(control), sizeof number);
+    return Descriptor(number);
+}
+
+// `control` is the buffer for it, which must outlive the use of `header`.
+template <class Buffer>
+void attach_descriptor(msghdr& header, Buffer& control, const Descriptor& descriptor) {
+    header.msg_control = control.data();
+    header.msg_controllen = control.size();
+    cmsghdr* const rights = CMSG_FIRSTHDR(&header);
+    rights->cmsg_level = SOL_SOCKET;
+    rights->cmsg_type = SCM_RIGHTS;
+    rights->cmsg_len = CMSG_LEN(sizeof(int));
+    const int number = descriptor.get();
+    std::memcpy(CMSG_DATA(rights), &number, sizeof number);
+}
 }  // namespace
 
 Descriptor::~Descriptor() {
@@ -46,20 +76,21 @@
 }
 
 HandoverChannel::HandoverChannel(asio::io_context& io, Descriptor&& socket)
-    : socket_(io, socket.release()), again_(io) {}
+    : socket_(io, socket.release()), send_retry_(io) {}
 
 void HandoverChannel::start(Callbacks callbacks) {
     callbacks_ = std::move(callbacks);
-    read();
+    receive();
 }
 
 void HandoverChannel::close() {
     if (std::exchange(closed_, true)) return;
     error_code ec;
     socket_.close(ec);
-    again_.cancel();
+    send_retry_.cancel();
     callbacks_ = {};
 }
+
 void HandoverChannel::end() {
     if (closed_) return;
     const auto on_end = callbacks_.on_end;
@@ -67,84 +98,87 @@
     if (on_end) on_end();
 }
 
-void HandoverChannel::read() {
+void HandoverChannel::receive() {
     if (closed_) return;
     socket_.async_wait(asio::posix::stream_descriptor::wait_read, [self = shared_from_this()](error_code ec) {
         if (ec || self->closed_) return;
-        while (!self->closed_ && self->read_one()) {
+        while (!self->closed_ && self->receive_one()) {
         }
-        self->read();
+        self->receive();
     });
 }
-bool HandoverChannel::read_one() {
-    std::string text(most_text + 1, '\0');
-    iovec bytes{text.data(), text.size()};
+
+bool HandoverChannel::receive_one() {
+    std::string bytes(max_payload_bytes + 1, '\0');
+    iovec buffer{bytes.data(), bytes.size()};
     alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int))> control{};
     msghdr header{};
-    header.msg_iov = &bytes, header.msg_iovlen = 1;
-    header.msg_control = control.data(), header.msg_controllen = control.size();
-    const ssize_t n = ::recvmsg(socket_.native_handle(), &header, MSG_CMSG_CLOEXEC);
-    if (n < 0 && (errno == EAGAIN || errno == EINTR)) return errno == EINTR;
+    header.msg_iov = &buffer;
+    header.msg_iovlen = 1;
+    header.msg_control = control.data();
+    header.msg_controllen = control.size();
+    const ssize_t size = ::recvmsg(socket_.native_handle(), &header, MSG_CMSG_CLOEXEC);
+    if (size < 0 && errno == EINTR) return true;
+    if (size < 0 && errno == EAGAIN) return false;
     HandoverMessage message;
-    if (const cmsghdr* const c = n > 0 ? CMSG_FIRSTHDR(&header) : nullptr;
-        c != nullptr && c->cmsg_level == SOL_SOCKET && c->cmsg_type == SCM_RIGHTS) {
-        int number = -1;
-        std::memcpy(&number, CMSG_DATA(c), sizeof number);
-        message.descriptor = Descriptor(number);
+    if (size > 0) message.descriptor = received_descriptor(header);
+    if (size <= 0 || (header.msg_flags & MSG_TRUNC) != 0) {
+        end();
+        return false;
     }
-    if (n <= 0 || (header.msg_flags & MSG_TRUNC) != 0) return end(), false;
-    message.kind = static_cast<HandoverMessage::Kind>(text[0]);
-    message.text = text.substr(1, static_cast<std::size_t>(n) - 1);
+    message.kind = static_cast<HandoverMessage::Kind>(bytes[0]);
+    message.payload = bytes.substr(1, static_cast<std::size_t>(size) - 1);
     if (callbacks_.on_message) callbacks_.on_message(std::move(message));
     return true;
 }
 
-void HandoverChannel::send(HandoverMessage::Kind kind, std::string text, Descriptor&& descriptor) {
+void HandoverChannel::send(HandoverMessage::Kind kind, std::string payload, Descriptor&& descriptor) {
     if (closed_) return;
-    unsent_.push_back({kind, std::move(text), std::move(descriptor)});
-    if (!waiting_ && !broken_) flush();
+    unsent_.push_back({kind, std::move(payload), std::move(descriptor)});
+    if (!waiting_to_send_ && !broken_) flush();
 }
+
 void HandoverChannel::flush() {
     while (!closed_ && !unsent_.empty()) {
         if (send_one(unsent_.front())) {
             unsent_.pop_front();
             continue;
         }
-        waiting_ = true;
-        const auto go_on = [self = shared_from_this()](error_code ec) {
-            self->waiting_ = false;
+        waiting_to_send_ = true;
+        const auto resume = [self = shared_from_this()](error_code ec) {
+            self->waiting_to_send_ = false;
             if (!ec) self->flush();
         };
-        if (errno == EAGAIN) return socket_.async_wait(asio::posix::stream_descriptor::wait_write, go_on);
+        if (errno == EAGAIN) return socket_.async_wait(asio::posix::stream_descriptor::wait_write, resume);
         if (errno == ETOOMANYREFS || errno == EINTR || errno == ENOBUFS) {
-            again_.expires_after(send_again);
-            return again_.async_wait(go_on);
+            send_retry_.expires_after(send_retry_interval);
+            return send_retry_.async_wait(resume);
         }
-        waiting_ = false;
+        waiting_to_send_ = false;
         broken_ = true;
-        // Not from within whoever sends: what they hold may end with this.
+        // Not from within the caller of `send`, because what it works with may end with this.
         return asio::post(socket_.get_executor(), [self = shared_from_this()] { self->end(); });
     }
 }
+
 bool HandoverChannel::send_one(const HandoverMessage& message) {
     char kind = static_cast<char>(message.kind);
     std::array<iovec, 2> bytes{iovec{&kind, 1},
-                               iovec{const_cast<char*>(message.text.data()), message.text.size()}};
+                               iovec{const_cast<char*>(message.payload.data()), message.payload.size()}};
     msghdr header{};
-    header.msg_iov = bytes.data(), header.msg_iovlen = bytes.size();
+    header.msg_iov = bytes.data();
+    header.msg_iovlen = bytes.size();
     alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int))> control{};
-    if (message.descriptor) {
-        header.msg_control = control.data(), header.msg_controllen = control.size();
-        cmsghdr* const c = CMSG_FIRSTHDR(&header);
-        c->cmsg_level = SOL_SOCKET, c->cmsg_type = SCM_RIGHTS, c->cmsg_len = CMSG_LEN(sizeof(int));
-        const int number = message.descriptor.get();
-        std::memcpy(CMSG_DATA(c), &number, sizeof number);
-    }
+    if (message.descriptor) attach_descriptor(header, control, message.descriptor);
     return ::sendmsg(socket_.native_handle(), &header, MSG_NOSIGNAL) >= 0;
 }
 
 HandoverPlace::HandoverPlace(asio::io_context& io, std::string folder, const std::string& name)
-    : io_(io), folder_(std::move(folder)), name_("spartrack-" + name), listener_(io), accept_pause_(io) {}
+    : io_(io),
+      folder_(std::move(folder)),
+      name_(socket_name_prefix + name),
+      listener_(io),
+      accept_retry_(io) {}
 
 std::shared_ptr<HandoverChannel> HandoverPlace::find() const {
     const Descriptor folder = open_folder(folder_);
@@ -157,19 +191,20 @@
     return std::make_shared<HandoverChannel>(io_, std::move(socket));
 }
 
-void HandoverPlace::wait(std::function<void(std::shared_ptr<HandoverChannel>)> on_comer) {
-    on_comer_ = std::move(on_comer);
+void HandoverPlace::wait(std::function<void(std::shared_ptr<HandoverChannel>)> on_successor) {
+    on_successor_ = std::move(on_successor);
     const Descriptor folder = open_folder(folder_);
     if (!folder) return;
-    // Bound under another name first and moved then: whoever looks finds the former one or this one.
-    const std::string fresh = name_ + "-" + std::to_string(::getpid());
-    const auto address = address_in(folder, fresh);
+    // Bound under another name first and renamed then, so that a process that looks for the socket always
+    // finds one.
+    const std::string temporary_name = name_ + "-" + std::to_string(::getpid());
+    const auto address = address_in(folder, temporary_name);
     Descriptor socket = make_socket();
-    ::unlinkat(folder.get(), fresh.c_str(), 0);
+    ::unlinkat(folder.get(), temporary_name.c_str(), 0);
     if (!address || !socket ||
         ::bind(socket.get(), reinterpret_cast<const sockaddr*>(&*address), sizeof *address) != 0 ||
-        ::listen(socket.get(), 4) != 0 ||
-        ::renameat(folder.get(), fresh.c_str(), folder.get(), name_.c_str()) != 0) {
+        ::listen(socket.get(), listen_backlog) != 0 ||
+        ::renameat(folder.get(), temporary_name.c_str(), folder.get(), name_.c_str()) != 0) {
         LogLine(LogLevel::warning, "upgrade_no_place_to_wait").with("error", std::strerror(errno));
         return;
     }
@@ -177,9 +212,10 @@
     listener_.assign(socket.release());
     accept();
 }
+
 void HandoverPlace::stop() {
     error_code ec;
-    accept_pause_.cancel();
+    accept_retry_.cancel();
     listener_.close(ec);
 }
 
@@ -189,13 +225,13 @@
         Descriptor socket(
             ::accept4(listener_.native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (socket) {
-            on_comer_(std::make_shared<HandoverChannel>(io_, std::move(socket)));
+            on_successor_(std::make_shared<HandoverChannel>(io_, std::move(socket)));
             return accept();
         }
-        // Guards against a spin: without descriptors, whoever waits there would wake this at once and for
-        // ever.
-        accept_pause_.expires_after(accept_again);
-        accept_pause_.async_wait([this](error_code stopped) {
+        // Without descriptors a process that waits to be accepted would wake the event loop at once, again
+        // and again.
+        accept_retry_.expires_after(accept_retry_interval);
+        accept_retry_.async_wait([this](error_code stopped) {
             if (!stopped) accept();
         });
     });
--- a/src/server/handover.h
+++ b/src/server/handover.h
@@ -1,4 +1,4 @@
-// How the old and the new process of an upgrade find each other and what they tell each other.
+// The channel between the two processes of an upgrade: how they find each other, and their messages.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,95 +12,107 @@
 
 namespace gateway::server {
 
-// A file descriptor that ends with its holder.
+// Owns a file descriptor and closes it.
 class Descriptor {
   public:
     Descriptor() = default;
-    explicit Descriptor(int number) : number_(number) {}
+    // A negative number stands for no descriptor, as in system calls.
+    explicit Descriptor(int number) noexcept : number_(number) {}
     Descriptor(Descriptor&& other) noexcept : number_(other.release()) {}
     Descriptor& operator=(Descriptor&& other) noexcept {
         std::swap(number_, other.number_);
         return *this;
     }
     ~Descriptor();
-    int release() { return std::exchange(number_, -1); }
-    int get() const { return number_; }
-    explicit operator bool() const { return number_ >= 0; }
+    // Gives the ownership to the caller.
+    int release() noexcept { return std::exchange(number_, none); }
+    [[nodiscard]] int get() const noexcept { return number_; }
+    explicit operator bool() const noexcept { return number_ >= 0; }
 
   private:
-    int number_ = -1;
+    static constexpr int none = -1;
+    int number_ = none;
 };
 
 struct HandoverMessage {
+    // The letters go over the wire and stay as they are, because the two processes may be of different
+    // releases.
     enum class Kind : char {
-        hello = 'h',     // each side's first: the version
-        take = 't',      // the new process can serve: the old one is to leave everything to it
-        listener = 'l',  // with its descriptor
-        peers = 'p',     // likewise
-        state = 's',     // a piece of the module's state
-        done = 'd',      // all that is needed to serve has been said: the sockets that the old one keeps
-        client = 'c',    // a client's connection: what has been read of its next request
-        host = 'o',      // an idle connection to a host, by uid
-        ban = 'b',       // both ways: uid
-        put_back = 'u',  // likewise
-        stand_by = 'y',  // likewise
-        activate = 'a',  // likewise
-        named = 'n',     // a host that a list has named
+        greeting = 'h',           // the first of each side: the protocol version
+        takeover_request = 't',   // the successor is able to serve: the predecessor shall hand over
+        client_listener = 'l',    // with its descriptor
+        peer_socket = 'p',        // with its descriptor
+        snapshot = 's',           // a chunk of the decision module's snapshot
+        complete = 'd',           // the state is complete; the number of sockets that the predecessor keeps
+        client_connection = 'c',  // with its descriptor: a flag and what has been read of the next request
+        host_connection = 'o',    // with its descriptor: microseconds of idleness and the host's uid
+        ban = 'b',                // in both directions: the host's uid
+        unban = 'u',              // likewise
+        enter_standby = 'y',      // in both directions
+        leave_standby = 'a',      // likewise
+        known_host = 'n',         // the uid of a host that an endpoint list has named
     };
-    Kind kind = Kind::hello;
-    std::string text;
+    Kind kind = Kind::greeting;
+    std::string payload;
     Descriptor descriptor;
 };
 
-// A connection between the two processes. What can't be sent at once is kept in order.
+// A connection to the other process. Messages that can't be sent at once are queued in order. Keeps itself
+// alive while an operation of the event loop is pending.
 class HandoverChannel : public std::enable_shared_from_this<HandoverChannel> {
   public:
     struct Callbacks {
         std::function<void(HandoverMessage&&)> on_message;
-        std::function<void()> on_end;  // the other process has ended, or said what it may not
+        std::function<void()> on_end;  // the other process has ended, or has sent what is not a message
     };
+    // `socket`: connected, non-blocking and of the kind SOCK_SEQPACKET.
     HandoverChannel(boost::asio::io_context& io, Descriptor&& socket);
+    // Begins to receive. Required before anything that is sent fails.
     void start(Callbacks callbacks);
-    void send(HandoverMessage::Kind kind, std::string text = {}, Descriptor&& descriptor = {});
+    void send(HandoverMessage::Kind kind, std::string payload = {}, Descriptor&& descriptor = {});
+    // No callback is called any more.
     void close();
-    // What the other process has not been sent, to be had back once the channel has ended.
-    std::deque<HandoverMessage> take_unsent() { return std::exchange(unsent_, {}); }
-    bool has_unsent() const { return !closed_ && !unsent_.empty(); }
+    // The messages that could not be sent, for use after the channel has ended.
+    [[nodiscard]] std::deque<HandoverMessage> take_unsent() { return std::exchange(unsent_, {}); }
+    [[nodiscard]] bool has_unsent() const { return !closed_ && !unsent_.empty(); }
 
   private:
-    void read();
-    bool read_one();
+    void receive();
+    // Whether there may be a further message to read.
+    bool receive_one();
     void flush();
-    bool send_one(const HandoverMessage& message);
+    [[nodiscard]] bool send_one(const HandoverMessage& message);
     void end();
 
     boost::asio::posix::stream_descriptor socket_;
-    boost::asio::steady_timer again_;
+    boost::asio::steady_timer send_retry_;
     Callbacks callbacks_;
     std::deque<HandoverMessage> unsent_;
-    bool waiting_ = false, closed_ = false;
+    bool waiting_to_send_ = false;  // until the socket takes more
+    bool closed_ = false;
     bool broken_ = false;  // nothing can be sent any more
 };
 
-// The place in $TMPDIR where a process waits for the one that comes after it.
+// The socket in $TMPDIR on which a process listens for its successor.
 class HandoverPlace {
   public:
-    // `name` tells one gateway's from another's; an empty folder: there is no such place.
+    // `name` distinguishes gateways from each other. With an empty `folder` there is no such socket.
     HandoverPlace(boost::asio::io_context& io, std::string folder, const std::string& name);
-    // The process that waits there now; nothing where there is none, or none any more.
-    std::shared_ptr<HandoverChannel> find() const;
-    // Waits there from now on, in place of any other.
-    void wait(std::function<void(std::shared_ptr<HandoverChannel>)> on_comer);
+    // Connects to the process that listens there; null if there is none.
+    [[nodiscard]] std::shared_ptr<HandoverChannel> find() const;
+    // Listens there from now on, in place of any other process. A failure is logged.
+    void wait(std::function<void(std::shared_ptr<HandoverChannel>)> on_successor);
     void stop();
 
   private:
     void accept();
 
     boost::asio::io_context& io_;
-    std::string folder_, name_;
+    std::string folder_;
+    std::string name_;  // of the socket within the folder
     boost::asio::posix::stream_descriptor listener_;
-    boost::asio::steady_timer accept_pause_;
-    std::function<void(std::shared_ptr<HandoverChannel>)> on_comer_;
+    boost::asio::steady_timer accept_retry_;
+    std::function<void(std::shared_ptr<HandoverChannel>)> on_successor_;
 };
 
 }  // namespace gateway::server
--- a/src/server/upgrade.cpp
+++ b/src/server/upgrade.cpp
@@ -38,7 +38,7 @@
     }
     predecessor_->start({[this](HandoverMessage&& message) { on_predecessor_message(std::move(message)); },
                          [this] { on_predecessor_closed(); }});
-    predecessor_->send(Kind::hello, protocol_greeting);
+    predecessor_->send(Kind::greeting, protocol_greeting);
     timeout_.expires_after(greeting_timeout);
     timeout_.async_wait([this](error_code cancelled) {
         if (!cancelled && stage_ == Stage::awaiting_greeting) serve_without_takeover("it does not answer");
@@ -60,7 +60,7 @@
 void Upgrade::request_takeover() {
     if (stage_ != Stage::greeted || !ready_to_serve_) return;
     stage_ = Stage::takeover_requested;
-    predecessor_->send(Kind::take);
+    predecessor_->send(Kind::takeover_request);
     timeout_.expires_after(takeover_timeout);
     timeout_.async_wait([this](error_code cancelled) {
         if (!cancelled && stage_ != Stage::serving) serve_without_takeover("it leaves nothing");
@@ -80,34 +80,35 @@
 
 void Upgrade::on_predecessor_message(HandoverMessage&& message) {
     switch (message.kind) {
-        case Kind::hello:
-            if (message.text != protocol_greeting) return serve_without_takeover("it is of another version");
+        case Kind::greeting:
+            if (message.payload != protocol_greeting)
+                return serve_without_takeover("it is of another version");
             if (stage_ == Stage::awaiting_greeting) stage_ = Stage::greeted;
             return request_takeover();
-        case Kind::listener:
+        case Kind::client_listener:
             inherited_.client_listener = std::move(message.descriptor);
             return;
-        case Kind::peers:
+        case Kind::peer_socket:
             inherited_.peer_socket = std::move(message.descriptor);
             return;
-        case Kind::state:
-            inherited_.snapshot += message.text;
+        case Kind::snapshot:
+            inherited_.snapshot += message.payload;
             return;
-        case Kind::done:
+        case Kind::complete:
             return on_handover_complete(message);
-        case Kind::client:
-        case Kind::host:
+        case Kind::client_connection:
+        case Kind::host_connection:
             if (stage_ == Stage::serving && message.descriptor) callbacks_.on_connection(std::move(message));
             return;
         case Kind::ban:
-        case Kind::put_back:
-        case Kind::stand_by:
-        case Kind::activate:
-        case Kind::named:
+        case Kind::unban:
+        case Kind::enter_standby:
+        case Kind::leave_standby:
+        case Kind::known_host:
             if (stage_ == Stage::serving) callbacks_.on_notification(std::move(message));
             else inherited_.notifications.push_back(std::move(message));
             return;
-        case Kind::take:
+        case Kind::takeover_request:
             return;
     }
 }
@@ -117,7 +118,7 @@
     if (!inherited_.client_listener) return serve_without_takeover("it has left no listener");
     stage_ = Stage::serving;
     timeout_.cancel();
-    inherited_.sockets_kept = std::strtoul(message.text.c_str(), nullptr, 10);
+    inherited_.sockets_kept = std::strtoul(message.payload.c_str(), nullptr, 10);
     callbacks_.on_taken_over(std::move(inherited_));
     listen_for_successor();
 }
@@ -138,17 +139,17 @@
 
 void Upgrade::on_successor_message(HandoverMessage&& message) {
     switch (message.kind) {
-        case Kind::hello:
-            successor_->send(Kind::hello, protocol_greeting);
-            successor_greeted_ = message.text == protocol_greeting;
+        case Kind::greeting:
+            successor_->send(Kind::greeting, protocol_greeting);
+            successor_greeted_ = message.payload == protocol_greeting;
             return;
-        case Kind::take:
+        case Kind::takeover_request:
             if (!successor_greeted_ || std::exchange(handed_over_, true)) return;
             return callbacks_.on_hand_over(*successor_);
         case Kind::ban:
-        case Kind::put_back:
-        case Kind::stand_by:
-        case Kind::activate:
+        case Kind::unban:
+        case Kind::enter_standby:
+        case Kind::leave_standby:
             if (successor_greeted_) callbacks_.on_notification(std::move(message));
             return;
         default:
@@ -163,7 +164,7 @@
     LogLine(LogLevel::warning, "upgrade_taken_back").with("cause", "the next process has ended");
     callbacks_.on_successor_lost();
     for (HandoverMessage& message : unsent)
-        if (message.kind == Kind::client || message.kind == Kind::host)
+        if (message.kind == Kind::client_connection || message.kind == Kind::host_connection)
             callbacks_.on_connection(std::move(message));
     listen_for_successor();
 }
--- a/src/server/upgrade_coordinator.cpp
+++ b/src/server/upgrade_coordinator.cpp
@@ -79,27 +79,29 @@
 }
 
 void UpgradeCoordinator::send_state(HandoverChannel& successor, std::size_t sockets_kept) {
-    successor.send(Kind::listener, {}, listeners_.clients()->share_listener());
+    successor.send(Kind::client_listener, {}, listeners_.clients()->share_listener());
     if (PeerLink* const peers = listeners_.peers()) {
         peers->listen(false);
-        successor.send(Kind::peers, {}, Descriptor(::fcntl(peers->native_handle(), F_DUPFD_CLOEXEC, 0)));
+        successor.send(Kind::peer_socket, {},
+                       Descriptor(::fcntl(peers->native_handle(), F_DUPFD_CLOEXEC, 0)));
     }
     for (std::size_t offset = 0; offset < snapshot_.size(); offset += snapshot_chunk_bytes)
-        successor.send(Kind::state, snapshot_.substr(offset, snapshot_chunk_bytes));
-    for (const std::string& uid : hosts_.known_names().all()) successor.send(Kind::named, uid);
+        successor.send(Kind::snapshot, snapshot_.substr(offset, snapshot_chunk_bytes));
+    for (const std::string& uid : hosts_.known_names().all()) successor.send(Kind::known_host, uid);
     for (const std::string& uid : pool_.banned()) successor.send(Kind::ban, uid);
-    if (listeners_.standby()) successor.send(Kind::stand_by);
-    successor.send(Kind::done, std::to_string(sockets_kept));
+    if (listeners_.standby()) successor.send(Kind::enter_standby);
+    successor.send(Kind::complete, std::to_string(sockets_kept));
 }
 
 void UpgradeCoordinator::send_connections(HandoverChannel& successor) {
     // Connections of clients follow as their requests end, when the channel may have been closed.
     const auto channel = successor.shared_from_this();
     listeners_.clients()->hand_over([channel](Descriptor&& socket, std::string&& unread, bool first) {
-        channel->send(Kind::client, (first ? '1' : '0') + std::move(unread), std::move(socket));
+        channel->send(Kind::client_connection, (first ? '1' : '0') + std::move(unread), std::move(socket));
     });
     pool_.hand_over([&successor](Descriptor&& socket, const std::string& uid, Micros idle_for) {
-        successor.send(Kind::host, std::to_string(idle_for.count()) + ' ' + uid, std::move(socket));
+        successor.send(Kind::host_connection, std::to_string(idle_for.count()) + ' ' + uid,
+                       std::move(socket));
     });
 }
 
@@ -112,38 +114,38 @@
 }
 
 void UpgradeCoordinator::adopt_connection(HandoverMessage&& connection) {
-    if (connection.kind == Kind::client) {
-        const std::string_view text = connection.text;
-        const std::string_view first_flag = text.substr(0, 1);
-        const std::string_view unread = text.substr(std::min<std::size_t>(1, text.size()));
+    if (connection.kind == Kind::client_connection) {
+        const std::string_view payload = connection.payload;
+        const std::string_view first_flag = payload.substr(0, 1);
+        const std::string_view unread = payload.substr(std::min<std::size_t>(1, payload.size()));
         listeners_.clients()->adopt(std::move(connection.descriptor), unread, first_flag == "1");
         return;
     }
-    const std::size_t space = connection.text.find(' ');
+    const std::size_t space = connection.payload.find(' ');
     if (space == std::string::npos) return;
-    const Micros idle_for(std::strtoll(connection.text.c_str(), nullptr, 10));
-    pool_.adopt(std::move(connection.descriptor), connection.text.substr(space + 1), idle_for);
+    const Micros idle_for(std::strtoll(connection.payload.c_str(), nullptr, 10));
+    pool_.adopt(std::move(connection.descriptor), connection.payload.substr(space + 1), idle_for);
 }
 
 void UpgradeCoordinator::apply_notification(const HandoverMessage& notification) {
     switch (notification.kind) {
         case Kind::ban:
-        case Kind::put_back:
-            return hosts_.set_banned(notification.text, notification.kind == Kind::ban);
-        case Kind::stand_by:
-        case Kind::activate:
-            return listeners_.set_standby(notification.kind == Kind::stand_by);
+        case Kind::unban:
+            return hosts_.set_banned(notification.payload, notification.kind == Kind::ban);
+        case Kind::enter_standby:
+        case Kind::leave_standby:
+            return listeners_.set_standby(notification.kind == Kind::enter_standby);
         default:
-            hosts_.add_known_name(notification.text);
+            hosts_.add_known_name(notification.payload);
     }
 }
 
 void UpgradeCoordinator::notify_ban(const std::string& uid, bool banned) {
-    upgrade_.notify(banned ? Kind::ban : Kind::put_back, uid);
+    upgrade_.notify(banned ? Kind::ban : Kind::unban, uid);
 }
 
 void UpgradeCoordinator::notify_standby(bool standby) {
-    upgrade_.notify(standby ? Kind::stand_by : Kind::activate);
+    upgrade_.notify(standby ? Kind::enter_standby : Kind::leave_standby);
 }
 
 }  // namespace gateway::server
