--- a/src/server/admin_server.cpp
+++ b/src/server/admin_server.cpp
@@ -1,8 +1,9 @@
 #include "admin_server.h"
 
+#include <algorithm>
 #include <array>
 #include <boost/beast/core/flat_buffer.hpp>
-#include <optional>
+#include <string_view>
 
 #include "log.h"
 #include "socket_write.h"
@@ -14,16 +15,33 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t most_callers = 8;  // of the descriptors set aside
-constexpr std::size_t most_call = 4096;  // bytes of a call's header, and of its body
-constexpr auto call_most = 800ms;        // every answer is due within a second
-constexpr auto linger_most = 200ms;      // for the caller to close first
-constexpr auto accept_again = 20ms;      // after an accept that failed for want of something
+constexpr std::size_t max_connections = 8;      // part of the descriptors that main.cpp reserves
+constexpr std::size_t max_message_size = 4096;  // bytes of a call's header, and of its body
+constexpr auto call_timeout = 800ms;            // every answer is due within a second
+constexpr auto linger_timeout = 200ms;          // for the caller to close first
+constexpr auto accept_retry_interval = 20ms;    // after an accept that failed for lack of a resource
 
 Answer plain(http::status status) {
     return make_answer(status, std::string(http::obsolete_reason(status)) + '\n');
 }
 
+struct Route {
+    std::string_view target;
+    http::verb method;
+    AdminCall::Kind kind;
+};
+constexpr std::array<Route, 5> routes{{{"/status", http::verb::get, AdminCall::Kind::status},
+                                       {"/maintenance/enter", http::verb::post, AdminCall::Kind::ban},
+                                       {"/maintenance/exit", http::verb::post, AdminCall::Kind::unban},
+                                       {"/standby", http::verb::post, AdminCall::Kind::enter_standby},
+                                       {"/active", http::verb::post, AdminCall::Kind::leave_standby}}};
+
+const Route* find_route(std::string_view target) {
+    const auto found = std::find_if(routes.begin(), routes.end(),
+                                    [&](const Route& route) { return route.target == target; });
+    return found == routes.end() ? nullptr : &*found;
+}
+
 std::string trimmed(std::string_view text) {
     const auto first = text.find_first_not_of(" \t\r\n");
     if (first == text.npos) return {};
@@ -31,40 +49,44 @@
 }
 }  // namespace
 
-class AdminServer::Caller : public std::enable_shared_from_this<Caller> {
+// One caller: reads a call, writes the answer and closes. Keeps itself alive while an operation is pending.
+class AdminServer::Connection : public std::enable_shared_from_this<Connection> {
   public:
-    Caller(AdminServer& admin, tcp::socket&& socket)
-        : admin_server_(admin), socket_(std::move(socket)), timer_(socket_.get_executor()) {
-        parser_.header_limit(most_call);
-        parser_.body_limit(most_call);
+    Connection(AdminServer& server, tcp::socket&& socket)
+        : server_(server), socket_(std::move(socket)), timer_(socket_.get_executor()) {
+        parser_.header_limit(max_message_size);
+        parser_.body_limit(max_message_size);
         error_code ec;
         socket_.non_blocking(true, ec);
     }
-    Callers::iterator self;
+    // This connection's place in the server's list, set before `start`.
+    Connections::iterator position;
 
     void start() {
-        timer_.expires_after(call_most);
-        timer_.async_wait([self = shared_from_this()](error_code stopped) {
-            if (!stopped && !self->answered_) self->answer(http::status::request_timeout);
-        });
-        http::async_read(socket_, unread_, parser_, [self = shared_from_this()](error_code ec, std::size_t) {
-            if (self->answered_ || self->closed_) return;
-            if (ec == http::error::body_limit) return self->answer(http::status::payload_too_large);
-            if (ec == http::error::header_limit)
-                return self->answer(http::status::request_header_fields_too_large);
-            if (ec && ec.category() == boost::system::system_category()) return self->close();
-            if (ec) return self->answer(http::status::bad_request);
-            self->answer(self->admin_server_.hear(self->parser_.get()));
+        timer_.expires_after(call_timeout);
+        timer_.async_wait([self = shared_from_this()](error_code cancelled) {
+            if (!cancelled && !self->answered_) self->answer(http::status::request_timeout);
         });
+        http::async_read(socket_, read_buffer_, parser_,
+                         [self = shared_from_this()](error_code ec, std::size_t) {
+                             if (self->answered_ || self->closed_) return;
+                             if (ec == http::error::body_limit)
+                                 return self->answer(http::status::payload_too_large);
+                             if (ec == http::error::header_limit)
+                                 return self->answer(http::status::request_header_fields_too_large);
+                             if (ec && ec.category() == boost::system::system_category())
+                                 return self->close();
+                             if (ec) return self->answer(http::status::bad_request);
+                             self->answer(self->server_.respond(self->parser_.get()));
+                         });
     }
-    bool answered() const { return answered_; }
     void close() {
         if (std::exchange(closed_, true)) return;
         error_code ec;
         timer_.cancel();
         socket_.close(ec);
-        const auto keep = shared_from_this();
-        admin_server_.callers_.erase(self);
+        const auto keep_alive = shared_from_this();  // beyond its place in the list
+        server_.connections_.erase(position);
     }
 
   private:
@@ -74,62 +96,64 @@
         answer.keep_alive(false);
         answer.prepare_payload();
         if (parser_.is_header_done() && parser_.get().method() == http::verb::head) answer.body().clear();
-        serialize(answer, out_);
-        timer_.expires_after(call_most);
-        timer_.async_wait([self = shared_from_this()](error_code stopped) {
-            if (!stopped) self->close();
+        serialize(answer, serialized_answer_);
+        timer_.expires_after(call_timeout);
+        timer_.async_wait([self = shared_from_this()](error_code cancelled) {
+            if (!cancelled) self->close();
         });
         write(0);
     }
     void write(std::size_t from) {
         error_code ec;
-        from += write_available(socket_, std::string_view(out_).substr(from), ec);
+        from += write_available(socket_, std::string_view(serialized_answer_).substr(from), ec);
         if (ec) return close();
-        if (from == out_.size()) return on_written();
+        if (from == serialized_answer_.size()) return on_written();
         socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this(), from](error_code failed) {
             if (self->closed_) return;
             if (failed) return self->close();
             self->write(from);
         });
     }
-    // What a half call still sends is read and dropped, so that the close does not take the answer along.
+    // Whatever the caller still sends is read and discarded, because a close with unread input would reset
+    // the connection and could destroy the answer.
     void on_written() {
         error_code ec;
         socket_.shutdown(tcp::socket::shutdown_send, ec);
-        timer_.expires_after(linger_most);
-        timer_.async_wait([self = shared_from_this()](error_code stopped) {
-            if (!stopped) self->close();
+        timer_.expires_after(linger_timeout);
+        timer_.async_wait([self = shared_from_this()](error_code cancelled) {
+            if (!cancelled) self->close();
         });
-        drop();
+        discard_input();
     }
-    void drop() {
-        socket_.async_read_some(asio::buffer(nowhere_),
+    void discard_input() {
+        socket_.async_read_some(asio::buffer(discarded_),
                                 [self = shared_from_this()](error_code ec, std::size_t) {
                                     if (ec) self->close();
-                                    else self->drop();
+                                    else self->discard_input();
                                 });
     }
 
-    AdminServer& admin_server_;
+    AdminServer& server_;
     tcp::socket socket_;
     asio::steady_timer timer_;
-    boost::beast::flat_buffer unread_{2 * most_call};
+    boost::beast::flat_buffer read_buffer_{2 * max_message_size};
     http::request_parser<http::string_body> parser_;
-    std::array<char, 512> nowhere_;
-    std::string out_;
-    bool answered_ = false, closed_ = false;
+    std::array<char, 512> discarded_;
+    std::string serialized_answer_;
+    bool answered_ = false;
+    bool closed_ = false;
 };
 
 AdminServer::AdminServer(asio::io_context& io, const tcp::endpoint& listen, OnCall on_call,
                          OnMetrics on_metrics)
     : acceptor_(io, listen, true),
-      pause_(io),
+      accept_retry_(io),
       on_call_(std::move(on_call)),
       on_metrics_(std::move(on_metrics)) {
     accept();
 }
 AdminServer::~AdminServer() {
-    while (!callers_.empty()) callers_.front()->close();
+    while (!connections_.empty()) connections_.front()->close();
 }
 
 void AdminServer::accept() {
@@ -137,42 +161,34 @@
         if (ec == asio::error::operation_aborted) return;
         if (ec) {
             LogLine(LogLevel::warning, "admin_accept_failed").with("error", ec.message());
-            pause_.expires_after(accept_again);
-            return pause_.async_wait([this](error_code stopped) {
-                if (!stopped) accept();
+            accept_retry_.expires_after(accept_retry_interval);
+            return accept_retry_.async_wait([this](error_code cancelled) {
+                if (!cancelled) accept();
             });
         }
-        if (callers_.size() >= most_callers) callers_.front()->close();
-        const auto caller = std::make_shared<Caller>(*this, std::move(socket));
-        caller->self = callers_.insert(callers_.end(), caller);
-        caller->start();
+        if (connections_.size() >= max_connections) connections_.front()->close();
+        const auto connection = std::make_shared<Connection>(*this, std::move(socket));
+        connection->position = connections_.insert(connections_.end(), connection);
+        connection->start();
         accept();
     });
 }
 
-Answer AdminServer::hear(const Request& request) const {
-    if (request.target() != "/metrics" || !on_metrics_) return plain(carry_out(request));
+Answer AdminServer::respond(const Request& request) const {
+    if (request.target() != "/metrics" || !on_metrics_) return plain(execute(request));
     if (request.method() != http::verb::get) return plain(http::status::method_not_allowed);
     Answer answer = make_answer(http::status::ok, on_metrics_());
     answer.set(http::field::content_type, "text/plain; version=0.0.4");
     return answer;
 }
 
-http::status AdminServer::carry_out(const Request& request) const {
-    const auto target = request.target();
-    const bool status = target == "/status", enter = target == "/maintenance/enter",
-               exit = target == "/maintenance/exit", stand_by = target == "/standby",
-               active = target == "/active";
-    if (!status && !enter && !exit && !stand_by && !active) return http::status::not_found;
-    if (request.method() != (status ? http::verb::get : http::verb::post))
-        return http::status::method_not_allowed;
+http::status AdminServer::execute(const Request& request) const {
+    const Route* const route = find_route({request.target().data(), request.target().size()});
+    if (route == nullptr) return http::status::not_found;
+    if (request.method() != route->method) return http::status::method_not_allowed;
     AdminCall call;
-    call.kind = status     ? AdminCall::Kind::status
-                : enter    ? AdminCall::Kind::ban
-                : exit     ? AdminCall::Kind::put_back
-                : stand_by ? AdminCall::Kind::stand_by
-                           : AdminCall::Kind::activate;
-    if (enter || exit) {
+    call.kind = route->kind;
+    if (call.kind == AdminCall::Kind::ban || call.kind == AdminCall::Kind::unban) {
         call.host = trimmed(request.body());
         if (call.host.empty()) return http::status::bad_request;
     }
--- a/src/server/admin_server.h
+++ b/src/server/admin_server.h
@@ -1,4 +1,4 @@
-// The admin interface for operators: a listener of its own, one call on a connection.
+// The admin interface for operators: a listener of its own, one call per connection.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,40 +14,43 @@
 namespace gateway::server {
 
 struct AdminCall {
-    enum class Kind { status, ban, put_back, stand_by, activate };
+    enum class Kind { status, ban, unban, enter_standby, leave_standby };
     Kind kind = Kind::status;
-    std::string host;  // of ban and put_back
+    std::string host;  // uid; of ban and unban only
 };
 
-// Guards against operators that go unheard under load: its few connections are none of the clients' budget,
-// and callers that say nothing give way to those that come.
+// Serves operators' calls. Its few connections are not part of the clients' socket budget, and the oldest
+// gives way to a new one, so that operators reach the gateway also under load.
 class AdminServer {
   public:
+    // Returns the status of the answer.
     using OnCall = std::function<http::status(const AdminCall&)>;
-    using OnMetrics = std::function<std::string()>;  // the text of /metrics
+    // Returns the text of /metrics.
+    using OnMetrics = std::function<std::string()>;
 
-    // Throws boost::system::system_error where the address can't be bound.
+    // Without `on_metrics` there is no /metrics. Throws boost::system::system_error if the address can't be
+    // bound.
     AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, OnCall on_call,
                 OnMetrics on_metrics = {});
     ~AdminServer();
     AdminServer(const AdminServer&) = delete;
     AdminServer& operator=(const AdminServer&) = delete;
 
-    boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
+    [[nodiscard]] boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
   private:
-    class Caller;
-    using Callers = std::list<std::shared_ptr<Caller>>;
+    class Connection;
+    using Connections = std::list<std::shared_ptr<Connection>>;
 
     void accept();
-    Answer hear(const Request& request) const;
-    http::status carry_out(const Request& request) const;
+    [[nodiscard]] Answer respond(const Request& request) const;
+    [[nodiscard]] http::status execute(const Request& request) const;
 
     boost::asio::ip::tcp::acceptor acceptor_;
-    boost::asio::steady_timer pause_;
+    boost::asio::steady_timer accept_retry_;
     OnCall on_call_;
     OnMetrics on_metrics_;
-    Callers callers_;  // the one that came first in front
+    Connections connections_;  // the oldest first
 };
 
 }  // namespace gateway::server
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -151,16 +151,16 @@
         case AdminCall::Kind::status:
             return ready() ? http::status::ok : http::status::service_unavailable;
         case AdminCall::Kind::ban:
-        case AdminCall::Kind::put_back: {
+        case AdminCall::Kind::unban: {
             if (!hosts_.known_names().contains(call.host)) return http::status::not_found;
             const bool banned = call.kind == AdminCall::Kind::ban;
             hosts_.set_banned(call.host, banned);
             upgrade_.notify_ban(call.host, banned);
             break;
         }
-        case AdminCall::Kind::stand_by:
-        case AdminCall::Kind::activate: {
-            const bool standby = call.kind == AdminCall::Kind::stand_by;
+        case AdminCall::Kind::enter_standby:
+        case AdminCall::Kind::leave_standby: {
+            const bool standby = call.kind == AdminCall::Kind::enter_standby;
             listeners_.set_standby(standby);
             upgrade_.notify_standby(standby);
             break;
--- a/tests/server/admin_server_test.cpp
+++ b/tests/server/admin_server_test.cpp
@@ -36,10 +36,10 @@
     ASSERT_EQ(calls.size(), 5u);
     EXPECT_EQ(calls[1].kind, AdminCall::Kind::ban);
     EXPECT_EQ(calls[1].host, "s-1");
-    EXPECT_EQ(calls[2].kind, AdminCall::Kind::put_back);
+    EXPECT_EQ(calls[2].kind, AdminCall::Kind::unban);
     EXPECT_EQ(calls[2].host, "s-1");
-    EXPECT_EQ(calls[3].kind, AdminCall::Kind::stand_by);
-    EXPECT_EQ(calls[4].kind, AdminCall::Kind::activate);
+    EXPECT_EQ(calls[3].kind, AdminCall::Kind::enter_standby);
+    EXPECT_EQ(calls[4].kind, AdminCall::Kind::leave_standby);
 }
 
 TEST_F(AdminServerTest, SaysNoToWhatIsNoCall) {
