--- a/src/server/discovery.cpp
+++ b/src/server/discovery.cpp
@@ -11,219 +11,236 @@
 using namespace std::chrono_literals;
 
 namespace {
-// What discovery has to tell counts as told some seconds on, whether it came or not: a watch that a silent
-// agent lets hang must end well before, so holds are short and patience beyond them is little. More gateways
-// than this hold longer, as their calls together would be more than discovery serves.
+// Discovery regards a change as delivered after some seconds, whether it arrived or not. A watch that a
+// silent agent holds has to end well before that, so holds and response timeouts are short. More gateways
+// than this hold longer, because their calls together would be more than discovery can serve.
 constexpr int few_gateways = 6;
-constexpr auto hold_most = 3000ms, patience_of_many = 1500ms, pause_most_of_many = 2000ms;
-// Of an agent that answers at once: it is silent after this, and a connection to it is tried again after
-// that.
-constexpr auto prompt = 100ms, reconnect_first = 5ms, reconnect_most = 80ms;
-// A change counts as told to a gateway that has not called for so many times what the settings name; what
-// lies between is for a loop that is late.
-constexpr int asks_after_failure = 4;
-constexpr auto ask_margin = 50ms;
-// From its first byte to its last.
-constexpr auto list_time_most = 2s;
-// A list of 150,000 hosts has 23 MB. It is taken up as it comes: what stands unread is a header or one read,
-// but for a line without an end inside a chunked list.
-constexpr std::size_t most_list = 32 * 1024 * 1024, most_unread = most_header + 64 * 1024;
+constexpr auto hold_of_few = 1000ms;
+constexpr auto max_hold = 3000ms;
+constexpr auto response_timeout_of_many = 1500ms;
+constexpr auto backoff_per_gateway = 10ms;
+constexpr auto max_backoff_of_many = 2000ms;
+// Of an agent that answers at once.
+constexpr auto pushed_response_timeout = 100ms;
+constexpr auto initial_reconnect_backoff = 5ms;
+constexpr auto max_reconnect_backoff = 80ms;
+// A change counts as delivered to a gateway that has not called for so many times the configured poll
+// interval. The margin is for an event loop that is late.
+constexpr int poll_intervals_after_failure = 4;
+constexpr auto poll_margin = 50ms;
+// From the first byte of a response to its last.
+constexpr auto max_response_duration = 2s;
+// The list of 150,000 hosts has 23 MB.
+constexpr std::size_t max_list_bytes = 32 * 1024 * 1024;
+// The response is parsed while it arrives: what is unread is a header or one read. Only a line without an end
+// in a chunked list would be longer.
+constexpr std::size_t max_unread_bytes = most_header + 64 * 1024;
 }  // namespace
 
-// From one call to the next, one's patience and the pause after it, stays within what the settings allow.
-WatchPace Discovery::pace_among(int gateways, bool pushed, std::chrono::microseconds ask_within) {
-    if (pushed) return {WatchPace{}.hold, prompt, prompt, reconnect_first, reconnect_most, true};
-    WatchPace pace = pace_of_asked(gateways);
-    if (ask_within.count() <= 0) return pace;
-    const auto most =
-        std::chrono::duration_cast<std::chrono::milliseconds>(ask_within * asks_after_failure / 2) -
-        ask_margin;
-    for (auto* time : {&pace.patience, &pace.patience_most, &pace.pause_first, &pace.pause_most})
-        *time = std::clamp<std::chrono::milliseconds>(most, 1ms, *time);
-    return pace;
+// The time from one call to the next, which is the response timeout and the backoff after it, stays within
+// the poll interval.
+WatchTiming Discovery::timing_for(int gateways, bool pushed, std::chrono::microseconds max_poll_interval) {
+    if (pushed)
+        return {WatchTiming{}.hold,        pushed_response_timeout, pushed_response_timeout,
+                initial_reconnect_backoff, max_reconnect_backoff,   true};
+    WatchTiming timing = timing_of_polls(gateways);
+    if (max_poll_interval.count() <= 0) return timing;
+    const auto max_time = std::chrono::duration_cast<std::chrono::milliseconds>(
+                              max_poll_interval * poll_intervals_after_failure / 2) -
+                          poll_margin;
+    for (auto* time : {&timing.response_timeout, &timing.max_response_timeout, &timing.initial_backoff,
+                       &timing.max_backoff})
+        *time = std::clamp<std::chrono::milliseconds>(max_time, 1ms, *time);
+    return timing;
 }
 
-WatchPace Discovery::pace_of_asked(int gateways) {
-    WatchPace pace;
-    if (gateways <= few_gateways) return pace;
-    pace.hold = std::min<std::chrono::milliseconds>(hold_most, 1000ms * gateways / few_gateways);
-    pace.patience = pace.patience_most = patience_of_many;
-    pace.pause_first =
-        std::clamp<std::chrono::milliseconds>(10ms * gateways, pace.pause_first, pause_most_of_many);
-    pace.pause_most = pause_most_of_many;
-    return pace;
+WatchTiming Discovery::timing_of_polls(int gateways) {
+    WatchTiming timing;
+    if (gateways <= few_gateways) return timing;
+    timing.hold = std::min<std::chrono::milliseconds>(max_hold, hold_of_few * gateways / few_gateways);
+    timing.response_timeout = response_timeout_of_many;
+    timing.max_response_timeout = response_timeout_of_many;
+    timing.initial_backoff = std::clamp<std::chrono::milliseconds>(
+        backoff_per_gateway * gateways, timing.initial_backoff, max_backoff_of_many);
+    timing.max_backoff = max_backoff_of_many;
+    return timing;
 }
 
 Discovery::Discovery(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& agent, OnList on_list,
-                     WatchPace pace, std::uint64_t seed, std::optional<std::int64_t> known_version)
+                     WatchTiming timing, std::uint64_t seed, std::optional<std::int64_t> known_version)
     : agent_(agent),
       on_list_(std::move(on_list)),
-      pace_(pace),
+      timing_(timing),
       random_(static_cast<std::uint32_t>(seed ^ seed >> 32)),
-      patience_next_(pace.patience),
-      pause_next_(pace.pause_first),
+      response_timeout_(timing.response_timeout),
+      backoff_(timing.initial_backoff),
       stream_(io),
-      pause_(io),
-      buffer_(most_unread),
+      backoff_timer_(io),
+      buffer_(max_unread_bytes),
       version_(known_version) {
-    ask();
+    poll();
 }
 void Discovery::stop() {
     stopped_ = true;
-    pause_.cancel();
+    backoff_timer_.cancel();
     stream_.close();
 }
 
-void Discovery::move_to(const boost::asio::ip::tcp::endpoint& agent) {
+void Discovery::set_agent(const boost::asio::ip::tcp::endpoint& agent) {
     if (stopped_ || agent == agent_) return;
     agent_ = agent;
     failing_ = false;
-    patience_next_ = pace_.patience;
-    pause_next_ = pace_.pause_first;
-    start_over();
+    response_timeout_ = timing_.response_timeout;
+    backoff_ = timing_.initial_backoff;
+    reset_connection();
     version_.reset();
-    answered_ = false;
-    pause_.cancel();
-    // Guards against two operations on one stream: one that the close has ended asks when its handler comes.
-    if (!under_way_) ask();
+    agent_has_answered_ = false;
+    backoff_timer_.cancel();
+    // A stream has one operation at a time: the handler of one that the close has ended polls.
+    if (!operation_pending_) poll();
 }
-// Forgets the connection; handlers that are still under way find their generation gone.
-void Discovery::start_over() {
+// Handlers that are still pending see that their generation is over.
+void Discovery::reset_connection() {
     ++generation_;
     connected_ = false;
     buffer_.consume(buffer_.size());
     stream_.close();
 }
 
-// Whether an operation that has ended is of the present connection.
-bool Discovery::goes_on(std::size_t generation) {
-    under_way_ = false;
+// Returns whether an operation that has ended belongs to the current connection. Polls on the current one if
+// it does not.
+bool Discovery::finish_operation(std::size_t generation) {
+    operation_pending_ = false;
     if (stopped_) return false;
     if (generation == generation_) return true;
-    ask();
+    poll();
     return false;
 }
 
-void Discovery::ask() {
+void Discovery::poll() {
     if (stopped_) return;
-    stream_.expires_after(patience_next_);
-    if (connected_) return send();
-    under_way_ = true;
+    stream_.expires_after(response_timeout_);
+    if (connected_) return send_request();
+    operation_pending_ = true;
     stream_.async_connect(agent_, [this, at = generation_](error_code ec) {
-        if (!goes_on(at)) return;
-        if (ec) return ask_anew("can't be reached");
+        if (!finish_operation(at)) return;
+        if (ec) return retry("can't be reached");
         connected_ = true;
         stream_.socket().set_option(boost::asio::ip::tcp::no_delay(true), ec);
         stream_.socket().non_blocking(true, ec);
-        send();
+        send_request();
     });
 }
 
-void Discovery::send() {
-    // One that was silent and would answer at once is asked for what it has now: a watch would not tell its
-    // return until there is news. Nor would it confirm the list known before.
-    waits_ = version_ && answered_ && !(failing_ && pace_.free);
-    const auto hold = waits_ ? pace_.hold : 0ms;
+void Discovery::send_request() {
+    // An agent that timed out and would answer at once is polled: a watch would not show its return until
+    // there is a change, nor would it confirm the known list.
+    is_watch_ = version_ && agent_has_answered_ && !(failing_ && timing_.polling_is_free);
+    const auto hold = is_watch_ ? timing_.hold : 0ms;
     request_ = "GET /catalog/members";
     if (version_)
         request_ += "?from=" + std::to_string(*version_) + "&hold_ms=" + std::to_string(hold.count());
     request_ += " HTTP/1.1\r\nHost: discovery\r\n\r\n";
-    // A call for the list as it is costs discovery most: given up early, it only makes the line longer.
-    stream_.expires_after(hold + (waits_ ? patience_next_ : pace_.patience_most));
-    write(0);
+    // A poll for the complete list costs discovery most: one that is given up early only lengthens its queue.
+    stream_.expires_after(hold + (is_watch_ ? response_timeout_ : timing_.max_response_timeout));
+    write_request(0);
 }
 
-// Writes the call on from there. Where the socket is full, the wait for room is the stream's, which ends with
-// the time for the call.
-void Discovery::write(std::size_t from) {
+// Writes the request from that byte on. Where the socket is full, the stream waits for it, within the call's
+// timeout.
+void Discovery::write_request(std::size_t from) {
     error_code ec;
     from += write_available(stream_.socket(), std::string_view(request_).substr(from), ec);
-    if (ec) return ask_anew("broke off");
-    if (from == request_.size()) return receive();
-    under_way_ = true;
+    if (ec) return retry("broke off");
+    if (from == request_.size()) return read_response();
+    operation_pending_ = true;
     const auto rest = boost::asio::buffer(request_.data() + from, request_.size() - from);
     stream_.async_write_some(rest, [this, from, at = generation_](error_code failed, std::size_t sent) {
-        if (!goes_on(at)) return;
-        if (failed) return ask_anew("broke off");
-        write(from + sent);
+        if (!finish_operation(at)) return;
+        if (failed) return retry("broke off");
+        write_request(from + sent);
     });
 }
 
-void Discovery::receive() {
+void Discovery::read_response() {
     parser_.emplace();
     parser_->header_limit(most_header);
-    parser_->body_limit(most_list);
-    whole_by_.reset();
-    receive_more();
+    parser_->body_limit(max_list_bytes);
+    response_deadline_.reset();
+    read_more();
 }
 
-// Patience is for silence, not for length: a long list may take its time, within a bound, while it goes on.
-void Discovery::receive_more() {
-    under_way_ = true;
+// The timeout applies to silence: a long list may take longer, within a bound, while it keeps arriving.
+void Discovery::read_more() {
+    operation_pending_ = true;
     http::async_read_some(stream_, buffer_, *parser_, [this, at = generation_](error_code ec, std::size_t) {
-        if (!goes_on(at)) return;
-        if (ec == beast::error::timeout) return ask_anew("is silent", Lost::silent);
-        if (ec) return ask_anew("broke off");
-        if (parser_->is_done()) return take_answer();
+        if (!finish_operation(at)) return;
+        if (ec == beast::error::timeout) return retry("is silent", Failure::timed_out);
+        if (ec) return retry("broke off");
+        if (parser_->is_done()) return on_response();
         const auto now = std::chrono::steady_clock::now();
-        if (!whole_by_) whole_by_ = now + list_time_most;
-        stream_.expires_at(std::min(*whole_by_, now + patience_next_));
-        receive_more();
+        if (!response_deadline_) response_deadline_ = now + max_response_duration;
+        stream_.expires_at(std::min(*response_deadline_, now + response_timeout_));
+        read_more();
     });
 }
 
-void Discovery::take_answer() {
+void Discovery::on_response() {
     const auto answer = parser_->release();
-    if (answer.result() != http::status::ok) return ask_anew("answers no list", Lost::no_room);
+    if (answer.result() != http::status::ok) return retry("answers no list", Failure::overloaded);
     if (!answer.keep_alive()) {
         connected_ = false;
         stream_.close();
     }
-    take(answer.body());
+    on_body(answer.body());
 }
 
-void Discovery::take(const std::string& body) {
+void Discovery::on_body(const std::string& body) {
     EndpointList list;
     try {
         simdjson::dom::parser parser;
         gateway::json::object root;
-        if (parser.parse(body).get(root) != simdjson::SUCCESS) return ask_anew("answers no JSON");
+        if (parser.parse(body).get(root) != simdjson::SUCCESS) return retry("answers no JSON");
         list = read_endpoint_list(root);
     } catch (const gateway::json::BadValue& error) {
-        return ask_anew(error.what());
+        return retry(error.what());
     }
     failing_ = false;
-    patience_next_ = pace_.patience;
-    pause_next_ = pace_.pause_first;
-    // It counts its versions anew: a watch from the one known here could hang for good.
-    const bool counts_anew = !list.whole && version_ && list.version < *version_;
-    if (counts_anew) {
+    response_timeout_ = timing_.response_timeout;
+    backoff_ = timing_.initial_backoff;
+    // The agent has restarted its versions: a watch from the version known here could be held for ever.
+    const bool versions_restarted = !list.whole && version_ && list.version < *version_;
+    if (versions_restarted) {
         version_.reset();
-        return ask();
+        return poll();
     }
-    answered_ = true;
+    agent_has_answered_ = true;
     version_ = list.version;
     on_list_(list);
-    ask();
+    poll();
 }
 
-// Only the first failure of a row is logged. After one that may have cost news the whole list is asked for.
-void Discovery::ask_anew(const char* what, Lost lost) {
-    const bool first = !std::exchange(failing_, true);
-    if (first) LogLine(LogLevel::warning, "discovery_failed").with("cause", what);
-    start_over();
-    if (lost == Lost::connection) version_.reset();
-    // What a silent watch misses counts as told some seconds on: it has waited long enough.
-    if (lost == Lost::silent && (pace_.free || (first && waits_))) return ask();
-    if (lost == Lost::silent) patience_next_ = std::min(pace_.patience_most, patience_next_ * 2);
-    // Half of it by chance, so that those turned away together do not come again together.
-    const auto half = std::chrono::duration_cast<std::chrono::microseconds>(pause_next_) / 2;
-    const bool steady = pace_.pause_first == pace_.pause_most;
-    const auto by_chance = half * static_cast<int>(random_() % 1024) / 512;
-    pause_.expires_after(steady ? 2 * half : half + by_chance);
-    pause_next_ = std::min(pace_.pause_most, pause_next_ * 2);
-    pause_.async_wait([this, at = generation_](error_code stopped) {
-        if (!stopped && at == generation_) ask();
+// Only the first failure in a row is logged. After one that may have lost a change the complete list is
+// polled.
+void Discovery::retry(const char* cause, Failure failure) {
+    const bool first_failure = !std::exchange(failing_, true);
+    if (first_failure) LogLine(LogLevel::warning, "discovery_failed").with("cause", cause);
+    reset_connection();
+    if (failure == Failure::connection_lost) version_.reset();
+    // Discovery regards what a silent watch misses as delivered after some seconds, so there is no time to
+    // lose.
+    if (failure == Failure::timed_out && (timing_.polling_is_free || (first_failure && is_watch_)))
+        return poll();
+    if (failure == Failure::timed_out)
+        response_timeout_ = std::min(timing_.max_response_timeout, response_timeout_ * 2);
+    // Half of the backoff is random, so that gateways that were rejected together do not return together.
+    const auto half = std::chrono::duration_cast<std::chrono::microseconds>(backoff_) / 2;
+    const bool steady = timing_.initial_backoff == timing_.max_backoff;
+    const auto jitter = half * static_cast<int>(random_() % 1024) / 512;
+    backoff_timer_.expires_after(steady ? 2 * half : half + jitter);
+    backoff_ = std::min(timing_.max_backoff, backoff_ * 2);
+    backoff_timer_.async_wait([this, at = generation_](error_code cancelled) {
+        if (!cancelled && at == generation_) poll();
     });
 }
 
--- a/src/server/discovery.h
+++ b/src/server/discovery.h
@@ -1,4 +1,4 @@
-// The watch on the list of hosts.
+// The client of discovery: polls and watches the endpoint list.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,70 +18,81 @@
 
 namespace gateway::server {
 
-// How long a watch is held, how long beyond that an answer may take, and how long after a failure the next
-// call waits. Answers that do not come and failures in a row double the latter two, up to `patience_most` and
-// `pause_most`, and gateways do not ask all at once: discovery goes on working at calls that were given up,
-// so that a short patience kept up by all would leave none of them an answer. Where asking is free, silence
-// is wait enough.
-struct WatchPace {
-    std::chrono::milliseconds hold{1000}, patience{400}, patience_most{1600};
-    std::chrono::milliseconds pause_first{100}, pause_most{1600};
-    bool free = false;
+// The times of a gateway's calls to discovery. After a failed call the next one waits for the backoff, and
+// timeouts in a row double the response timeout: discovery goes on working at calls that were given up, so
+// that many gateways with a short timeout would get no answer at all.
+struct WatchTiming {
+    std::chrono::milliseconds hold{1000};             // how long discovery may hold a watch before it answers
+    std::chrono::milliseconds response_timeout{400};  // beyond the hold
+    std::chrono::milliseconds max_response_timeout{1600};
+    std::chrono::milliseconds initial_backoff{100};
+    std::chrono::milliseconds max_backoff{1600};
+    bool polling_is_free = false;  // discovery answers at once, so that no backoff follows a timeout
 };
 
-// Asks for the whole list first, or for what is newer than a list known before, then for what is newer than
-// the last answer, again and again. An agent that is silent or broken is asked anew on a fresh connection:
-// for the whole list, unless it has only had no room or no time, when what is newer will do and costs
-// discovery less.
+// Polls for the complete list first, or for what is newer than a known list, then watches for what is newer
+// than the last answer. After a failure it polls again on a fresh connection: for the complete list, unless
+// the agent was only overloaded or late, when the changes suffice and cost discovery less. Asks for the whole
+// list first, or for what is newer than a list known before, then for what is newer than the last answer,
+// again and again. An agent that is silent or broken is asked anew on a fresh connection: for the whole list,
+// unless it has only had no room or no time, when what is newer will do and costs discovery less.
 class Discovery {
   public:
     using OnList = std::function<void(const EndpointList&)>;
-    // Where lists are pushed, the agent has them at hand, answers at once and for nothing, and what it has
-    // counts as told: its return from silence must be noticed within a drain's grace. Where they are asked
-    // for, many gateways wear discovery out with calls that it turns away or that are given up before their
-    // turn.
-    // `ask_within`: after a failed call the next is due within four times this; 0: no such bound.
-    static WatchPace pace_among(int gateways, bool pushed, std::chrono::microseconds ask_within = {});
 
-    // `known_version`: of the list that the gateway has already; none: the whole list is asked for first.
+    // The timing for one of so many gateways. `pushed`: the agent has the lists at hand and answers at once;
+    // its return after a timeout has to be noticed within a drain's grace period. Otherwise lists are polled
+    // from discovery, which many gateways overload with calls that are rejected or given up before their
+    // turn. `max_poll_interval`: after a failed call the next one is due within four times this; 0: not
+    // bounded.
+    [[nodiscard]] static WatchTiming timing_for(int gateways, bool pushed,
+                                                std::chrono::microseconds max_poll_interval = {});
+
+    // `known_version`: of the list that the gateway has already; none: the complete list is polled first.
     Discovery(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& agent, OnList on_list,
-              WatchPace pace = {}, std::uint64_t seed = 1, std::optional<std::int64_t> known_version = {});
-    // Asks another agent from now on, first for its whole list: its versions tell nothing of the former
-    // one's.
-    void move_to(const boost::asio::ip::tcp::endpoint& agent);
+              WatchTiming timing = {}, std::uint64_t seed = 1,
+              std::optional<std::int64_t> known_version = {});
+    // Uses another agent from now on and polls it for the complete list first, because its versions are not
+    // comparable with those of the previous agent.
+    void set_agent(const boost::asio::ip::tcp::endpoint& agent);
+    // No list is reported any more.
     void stop();
 
   private:
-    static WatchPace pace_of_asked(int gateways);
-    void ask();
-    void send();
-    void write(std::size_t from);
-    void receive();
-    void receive_more();
-    void take_answer();
-    void take(const std::string& body);
-    enum class Lost { connection, no_room, silent };
-    void ask_anew(const char* what, Lost lost = Lost::connection);
-    void start_over();
-    bool goes_on(std::size_t generation);
+    enum class Failure { connection_lost, overloaded, timed_out };
+
+    [[nodiscard]] static WatchTiming timing_of_polls(int gateways);
+    void poll();
+    void send_request();
+    void write_request(std::size_t from);
+    void read_response();
+    void read_more();
+    void on_response();
+    void on_body(const std::string& body);
+    void retry(const char* cause, Failure failure = Failure::connection_lost);
+    void reset_connection();
+    [[nodiscard]] bool finish_operation(std::size_t generation);
 
     boost::asio::ip::tcp::endpoint agent_;
     OnList on_list_;
-    WatchPace pace_;
+    WatchTiming timing_;
     std::minstd_rand random_;
-    std::chrono::milliseconds patience_next_, pause_next_;
+    std::chrono::milliseconds response_timeout_;  // of the next call
+    std::chrono::milliseconds backoff_;           // after the next failure
     boost::beast::tcp_stream stream_;
-    boost::asio::steady_timer pause_;
+    boost::asio::steady_timer backoff_timer_;
     boost::beast::flat_buffer buffer_;
     std::optional<http::response_parser<http::string_body>> parser_;
-    std::optional<std::chrono::steady_clock::time_point> whole_by_;  // once the answer has begun
+    std::optional<std::chrono::steady_clock::time_point> response_deadline_;  // once the response has begun
     std::string request_;
-    std::optional<std::int64_t> version_;
-    bool connected_ = false, failing_ = false, stopped_ = false;
-    bool waits_ = false;      // the call under way is a watch
-    bool answered_ = false;   // this agent has told a list, or that there is nothing newer than the known one
-    bool under_way_ = false;  // an operation on the stream
-    std::size_t generation_ = 0;  // of the connection, so that handlers of a former one are told apart
+    std::optional<std::int64_t> version_;  // of the list that the gateway has
+    bool connected_ = false;
+    bool failing_ = false;  // the last call failed
+    bool stopped_ = false;
+    bool is_watch_ = false;            // the current call is a watch rather than a poll
+    bool agent_has_answered_ = false;  // with a list, or that nothing is newer than the known one
+    bool operation_pending_ = false;   // on the stream
+    std::size_t generation_ = 0;       // of the connection, so that handlers of a previous one are recognised
 };
 
 }  // namespace gateway::server
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -102,7 +102,7 @@
     if (!config_.lists_pushed && !config_.known.endpoints.empty()) known_version = config_.known.version;
     return std::make_unique<Discovery>(
         io, config_.discovery, on_list,
-        Discovery::pace_among(config_.settings.instances, config_.lists_pushed, config_.ask_within),
+        Discovery::timing_for(config_.settings.instances, config_.lists_pushed, config_.ask_within),
         config_.seed, known_version);
 }
 
@@ -173,7 +173,7 @@
     LogLine(LogLevel::info, "configuration_reloaded")
         .with("discovery",
               config.discovery.address().to_string() + ':' + std::to_string(config.discovery.port()));
-    discovery_->move_to(config.discovery);
+    discovery_->set_agent(config.discovery);
 }
 
 void Runtime::drain(std::function<void()> on_drained) { shutdown_.start(*discovery_, std::move(on_drained)); }
--- a/tests/server/discovery_test.cpp
+++ b/tests/server/discovery_test.cpp
@@ -114,16 +114,16 @@
     EXPECT_GE(at[2] - at[1], 20ms);
     EXPECT_GE(at[3] - at[2], 40ms);
     EXPECT_GE(at[4] - at[3], 80ms);
-    EXPECT_GT(Discovery::pace_among(48, false).hold, Discovery::pace_among(4, false).hold);
-    const WatchPace of_many = Discovery::pace_among(300, false);
-    EXPECT_LE(of_many.pause_first, of_many.pause_most);
+    EXPECT_GT(Discovery::timing_for(48, false).hold, Discovery::timing_for(4, false).hold);
+    const WatchTiming of_many = Discovery::timing_for(300, false);
+    EXPECT_LE(of_many.initial_backoff, of_many.max_backoff);
     // Found on harbor-yard's throng day: a gateway that paused longer than its settings allow counted as
     // told.
     for (const int gateways : {4, 25, 300}) {
-        const WatchPace bound = Discovery::pace_among(gateways, false, 200ms);
-        EXPECT_LT(bound.patience_most + bound.pause_most, 800ms);
-        EXPECT_LE(bound.patience, bound.patience_most);
-        EXPECT_LE(bound.pause_first, bound.pause_most);
+        const WatchTiming bound = Discovery::timing_for(gateways, false, 200ms);
+        EXPECT_LT(bound.max_response_timeout + bound.max_backoff, 800ms);
+        EXPECT_LE(bound.response_timeout, bound.max_response_timeout);
+        EXPECT_LE(bound.initial_backoff, bound.max_backoff);
     }
 }
 
@@ -145,9 +145,9 @@
     EXPECT_EQ(agent.targets[0], "/catalog/members");
     EXPECT_EQ(agent.targets[1].substr(0, 24), "/catalog/members?from=7&");  // not the same call again
     EXPECT_EQ(work.size(), 2u);
-    const WatchPace timing = Discovery::pace_among(6, false);
+    const WatchTiming timing = Discovery::timing_for(6, false);
     // News count as told 6 s after discovery had them and could be reached, whatever failed before.
-    EXPECT_LT(timing.pause_most + timing.patience_most, 6s);
+    EXPECT_LT(timing.max_backoff + timing.max_response_timeout, 6s);
 }
 
 // Found on the large days: 300 gateways waited for 1.5 to 3 s after a silent watch and for up to 2 s between
@@ -161,7 +161,7 @@
         else if (at.size() == 5) p.close();
     });
     std::vector<EndpointList> lists;
-    WatchPace timing = Discovery::pace_among(300, true);
+    WatchTiming timing = Discovery::timing_for(300, true);
     timing.hold = 20ms;
     Discovery watch(
         io, agent.endpoint(), [&](const EndpointList& l) { lists.push_back(l); }, timing, 5);
