--- a/src/server/request_handler.cpp
+++ b/src/server/request_handler.cpp
@@ -13,6 +13,9 @@
 using namespace std::chrono_literals;
 
 namespace {
+// RequestArrived::plan of a request without a plan.
+constexpr int no_plan = -1;
+
 // In seconds, rounded up to milliseconds.
 std::string format_retry_after(Micros retry_after) {
     char text[32];
@@ -37,39 +40,35 @@
       timers_(dependencies.timers),
       pool_(dependencies.pool),
       listeners_(dependencies.listeners),
-      check_(dependencies.settings) {}
+      validator_(dependencies.settings) {}
 
 // ---- clients ----
 
 void RequestHandler::on_request(ClientRequest&& request) {
-    RequestFacts facts;
-    Complaint complaint = check_.read(request.message, facts);
+    RequestAttributes attributes;
+    std::optional<RequestError> error = validator_.validate(request.message, attributes);
     // A host would see a second copy of a request in flight, and its answer could reach the wrong one.
-    if (!complaint && requests_.contains_trace_id(facts.id))
-        complaint = {http::status::conflict, "X-Trace-Id: expected one that is not open"};
+    if (!error && requests_.contains_trace_id(attributes.trace_id))
+        error = {http::status::conflict, "X-Trace-Id: expected one that is not open"};
     metrics_.request_received();
-    if (complaint) {
-        metrics_.request_rejected();
-        LogLine(LogLevel::debug, "request_rejected")
-            .with("request", request.id)
-            .with("cause", complaint.text);
-        clients().reject(request.id, make_answer(complaint.status, complaint.text + '\n'));
+    if (error) {
+        reject_invalid(request.id, *error);
         return;
     }
+    const Micros deadline = clock_.at(request.arrived) + attributes.time_left;
     decision::RequestArrived event;
     event.id = request.id;
-    event.customer = std::move(facts.customer);
-    event.plan = facts.plan;
-    event.request_class = facts.request_class;
-    event.units = facts.units;
-    const Micros deadline = clock_.at(request.arrived) + facts.time_left;
+    event.customer = std::move(attributes.customer);
+    event.plan = attributes.plan.value_or(no_plan);
+    event.request_class = attributes.request_class;
+    event.units = attributes.units;
     event.time_left = deadline - clock_.now();
-    event.set_size = facts.set_size;
-    event.set_start = facts.set_start;
+    event.set_size = attributes.set_size;
+    event.set_start = attributes.set_start;
     InFlightRequest arrived;
     arrived.message = std::move(request.message);
     arrived.body_room = std::move(request.room);
-    arrived.trace_id = std::move(facts.id);
+    arrived.trace_id = std::move(attributes.trace_id);
     arrived.deadline = deadline;
     const InFlightRequest& added = requests_.add(request.id, std::move(arrived));
     LogLine(LogLevel::debug, "request_received")
@@ -84,6 +83,12 @@
     dispatcher_.dispatch(std::move(event));
 }
 
+void RequestHandler::reject_invalid(decision::RequestId id, const RequestError& error) {
+    metrics_.request_rejected();
+    LogLine(LogLevel::debug, "request_rejected").with("request", id).with("cause", error.message);
+    clients().reject(id, make_answer(error.status, error.message + '\n'));
+}
+
 void RequestHandler::on_client_disconnected(decision::RequestId id) {
     InFlightRequest* const request = requests_.find(id);
     if (request == nullptr) return;
--- a/src/server/request_handler.h
+++ b/src/server/request_handler.h
@@ -12,7 +12,7 @@
 #include "in_flight_requests.h"
 #include "listeners.h"
 #include "metrics.h"
-#include "request_check.h"
+#include "request_validator.h"
 #include "timer_queue.h"
 
 namespace gateway::server {
@@ -63,6 +63,7 @@
     void execute(const decision::CancelAttempt& action);
 
   private:
+    void reject_invalid(decision::RequestId id, const RequestError& error);
     void report_not_sent(const decision::SendAttempt& action, int attempt, bool answered);
     void answer(decision::RequestId id, InFlightRequest& request, Answer&& answer);
     void close(decision::RequestId id, InFlightRequest& request);
@@ -78,7 +79,7 @@
     TimerQueue& timers_;
     HostPool& pool_;
     Listeners& listeners_;
-    const RequestCheck check_;
+    const RequestValidator validator_;
     InFlightRequests requests_;
 };
 
