--- a/src/server/metrics.cpp
+++ b/src/server/metrics.cpp
@@ -7,43 +7,44 @@
 void add_type(std::string& text, std::string_view name) {
     text.append("# TYPE ").append(name).append(" counter\n");
 }
-void add(std::string& text, std::string_view name, std::uint64_t count) {
+void add_counter(std::string& text, std::string_view name, std::uint64_t count) {
     add_type(text, name);
     text.append(name).append(" ").append(std::to_string(count)).append("\n");
 }
-void add_row(std::string& text, std::string_view name, std::string_view label, std::string_view value,
-             std::uint64_t count) {
+void add_sample(std::string& text, std::string_view name, std::string_view label, std::string_view value,
+                std::uint64_t count) {
     text.append(name).append("{").append(label).append("=\"").append(value).append("\"} ");
     text.append(std::to_string(count)).append("\n");
 }
 template <class Counts>
-void add_all(std::string& text, std::string_view name, std::string_view label, const Counts& counts) {
+void add_family(std::string& text, std::string_view name, std::string_view label, const Counts& counts) {
     add_type(text, name);
-    for (const auto& [value, count] : counts) add_row(text, name, label, value, count);
+    for (const auto& [value, count] : counts) add_sample(text, name, label, value, count);
 }
 }  // namespace
 
 std::string Metrics::text(const decision::RuleGuard::Violations& violations) const {
     std::string text;
-    add(text, "api_gateway_requests_total", requests_);
-    add(text, "api_gateway_requests_rejected_total", rejected_);
+    add_counter(text, "api_gateway_requests_total", requests_);
+    add_counter(text, "api_gateway_requests_rejected_total", invalid_requests_);
     add_type(text, "api_gateway_answers_total");
     for (const auto& [status, count] : answers_)
-        add_row(text, "api_gateway_answers_total", "status", std::to_string(status), count);
-    add_all(text, "api_gateway_refusals_total", "cause", refusals_);
-    add_all(text, "api_gateway_failures_total", "cause", failures_);
-    add_all(text, "api_gateway_attempts_begun_total", "cause", attempts_begun_);
-    add_all(text, "api_gateway_attempts_ended_total", "outcome", attempts_ended_);
-    add_all(text, "api_gateway_client_connections_closed_total", "cause", client_closes_);
-    add_all(text, "api_gateway_host_connections_closed_total", "cause", host_closes_);
+        add_sample(text, "api_gateway_answers_total", "status", std::to_string(status), count);
+    add_family(text, "api_gateway_refusals_total", "cause", rejections_);
+    add_family(text, "api_gateway_failures_total", "cause", failures_);
+    add_family(text, "api_gateway_attempts_begun_total", "cause", attempts_begun_);
+    add_family(text, "api_gateway_attempts_ended_total", "outcome", attempts_ended_);
+    add_family(text, "api_gateway_client_connections_closed_total", "cause", client_closes_);
+    add_family(text, "api_gateway_host_connections_closed_total", "cause", host_closes_);
     add_type(text, "api_gateway_sends_held_back_total");
     for (std::size_t verdict = 1; verdict < decision::send_verdict_count; ++verdict)
-        add_row(text, "api_gateway_sends_held_back_total", "verdict",
-                decision::to_string(static_cast<decision::SendVerdict>(verdict)), violations.sends[verdict]);
-    add(text, "api_gateway_refusals_held_back_total", violations.refusals);
-    add(text, "api_gateway_late_answers_total", violations.late_answers);
-    add(text, "api_gateway_closed_unanswered_total", violations.unanswered);
-    add(text, "api_gateway_rule_violations_total", violations.total());
+        add_sample(text, "api_gateway_sends_held_back_total", "verdict",
+                   decision::to_string(static_cast<decision::SendVerdict>(verdict)),
+                   violations.sends[verdict]);
+    add_counter(text, "api_gateway_refusals_held_back_total", violations.refusals);
+    add_counter(text, "api_gateway_late_answers_total", violations.late_answers);
+    add_counter(text, "api_gateway_closed_unanswered_total", violations.unanswered);
+    add_counter(text, "api_gateway_rule_violations_total", violations.total());
     return text;
 }
 
--- a/src/server/metrics.h
+++ b/src/server/metrics.h
@@ -1,4 +1,4 @@
-// Counts of what the gateway did and why, as operators read them.
+// The counters that operators scrape from /metrics.
 #pragma once
 
 #include <array>
@@ -12,27 +12,38 @@
 
 namespace gateway::server {
 
+// Counts events by their outcome or reason. The names of the metrics are part of the operators' interface.
 class Metrics {
   public:
     void request_received() { ++requests_; }
-    void request_rejected() { ++rejected_; }
+    // An invalid request, which the decision module does not see.
+    void request_invalid() { ++invalid_requests_; }
+    // `status`: of the final answer to a valid request.
     void answered(unsigned status) { ++answers_[status]; }
-    void refused(decision::RejectionReason cause) { ++refusals_[decision::to_string(cause)]; }
-    void failed(decision::RejectionReason cause) { ++failures_[decision::to_string(cause)]; }
-    void attempt_begun(decision::AttemptReason cause) { ++attempts_begun_[decision::to_string(cause)]; }
+    // The decision module rejects a request that was not executed, or that is harmless to execute again.
+    void request_shed(decision::RejectionReason reason) { ++rejections_[decision::to_string(reason)]; }
+    // The decision module gives up a request that may have been executed.
+    void request_failed(decision::RejectionReason reason) { ++failures_[decision::to_string(reason)]; }
+    void attempt_begun(decision::AttemptReason reason) { ++attempts_begun_[decision::to_string(reason)]; }
     void attempt_ended(HostOutcome outcome) { ++attempts_ended_[to_string(outcome)]; }
-    void client_closed(ClientCloseReason cause) { ++client_closes_[to_string(cause)]; }
-    void host_closed(HostCloseReason cause) { ++host_closes_[to_string(cause)]; }
+    void client_closed(ClientCloseReason reason) { ++client_closes_[to_string(reason)]; }
+    void host_closed(HostCloseReason reason) { ++host_closes_[to_string(reason)]; }
 
     // In the text format of Prometheus.
-    std::string text(const decision::RuleGuard::Violations& violations) const;
+    [[nodiscard]] std::string text(const decision::RuleGuard::Violations& violations) const;
 
   private:
     using CountByName = std::map<std::string, std::uint64_t, std::less<>>;
 
-    std::uint64_t requests_ = 0, rejected_ = 0;
+    std::uint64_t requests_ = 0;
+    std::uint64_t invalid_requests_ = 0;
     std::map<unsigned, std::uint64_t> answers_;  // by status
-    CountByName refusals_, failures_, attempts_begun_, attempts_ended_, client_closes_, host_closes_;
+    CountByName rejections_;
+    CountByName failures_;
+    CountByName attempts_begun_;
+    CountByName attempts_ended_;
+    CountByName client_closes_;
+    CountByName host_closes_;
 };
 
 }  // namespace gateway::server
--- a/src/server/request_handler.cpp
+++ b/src/server/request_handler.cpp
@@ -84,7 +84,7 @@
 }
 
 void RequestHandler::reject_invalid(decision::RequestId id, const RequestError& error) {
-    metrics_.request_rejected();
+    metrics_.request_invalid();
     LogLine(LogLevel::debug, "request_rejected").with("request", id).with("cause", error.message);
     clients().reject(id, make_answer(error.status, error.message + '\n'));
 }
@@ -224,7 +224,7 @@
         .with("trace", request->trace_id)
         .with("cause", to_string(action.reason))
         .with("retry_after", action.retry_after);
-    metrics_.refused(action.reason);
+    metrics_.request_shed(action.reason);
     Answer rejection = make_answer(request->attempts_started == 0 ? http::status::too_many_requests
                                                                   : http::status::service_unavailable);
     if (action.retry_after > 0us)
@@ -239,7 +239,7 @@
         .with("request", action.id)
         .with("trace", request->trace_id)
         .with("cause", to_string(action.reason));
-    metrics_.failed(action.reason);
+    metrics_.request_failed(action.reason);
     answer(action.id, *request, make_answer(http::status::gateway_timeout));
 }
 
