--- a/src/server/config.h
+++ b/src/server/config.h
@@ -1,4 +1,4 @@
-// What the platform tells a gateway at its start, from the environment and the configuration file.
+// The configuration that the platform gives a gateway, from the environment and a JSON file.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,45 +17,49 @@
 namespace gateway::server {
 
 struct Config {
-    std::string name;
-    boost::asio::ip::tcp::endpoint listen, discovery;
-    std::optional<boost::asio::ip::tcp::endpoint> admin_listen;  // absent: no admin interface
-    std::optional<boost::asio::ip::udp::endpoint> peer_listen, peers_all;
-    std::vector<boost::asio::ip::udp::endpoint> peers;  // by rank
+    std::string name;  // of the gateway; unique on its machine
+    boost::asio::ip::tcp::endpoint listen;
+    boost::asio::ip::tcp::endpoint discovery;
+    std::optional<boost::asio::ip::tcp::endpoint> admin_listen;  // none: no admin interface
+    std::optional<boost::asio::ip::udp::endpoint> peer_listen;   // none: no peer messages
+    std::optional<boost::asio::ip::udp::endpoint> all_peers;     // an address that reaches every peer
+    std::vector<boost::asio::ip::udp::endpoint> peers;           // by rank
     std::uint64_t seed = 0;
-    std::string handover_folder;  // where the processes of an upgrade find each other; empty: they don't
+    // The folder in which the processes of an upgrade find each other; empty: upgrades hand nothing over.
+    std::string handover_folder;
     std::size_t sockets = 1024;   // file descriptors that the process may hold
-    std::size_t memory_mb = 192;  // over which the process is killed
-    EndpointList known;
-    bool lists_pushed = true;  // else they are asked for, and that costs
-    // Without a watch and a call for so long, four times that after a failed call, changes count as told; 0:
-    // not set.
-    std::chrono::microseconds ask_within{0};
+    std::size_t memory_mb = 192;  // memory limit in MiB, beyond which the process is killed
+    EndpointList initial_endpoints;
+    bool lists_pushed = true;  // false: lists are polled from discovery, at a cost
+    // Discovery regards changes as delivered to a gateway that has neither a watch nor a call for so long;
+    // after a failed call, for four times as long. 0: not set.
+    std::chrono::microseconds max_poll_interval{0};
     decision::Settings settings;
-    // Of the settings, what concerns connections only.
+    // From the settings file, but of no concern to the decision module.
     std::chrono::microseconds connect_timeout{std::chrono::milliseconds(250)};
-    std::chrono::microseconds idle_limit{std::chrono::seconds(30)};
+    std::chrono::microseconds idle_limit{std::chrono::seconds(30)};  // of a connection to a host
 };
 
-// One plain line: the key that is wrong and what was expected there.
+// The configuration is invalid. The message is one plain line: the key that is wrong and what was expected.
 struct ConfigError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-using Environment = std::function<const char*(const char*)>;
-
-// The file can't be read, which may pass; what it says is not known.
+// The file can't be read, which may be temporary.
 struct ConfigUnreadable : ConfigError {
     using ConfigError::ConfigError;
 };
 
-// Reads the file that BALANCER_CONFIG names; a value that it leaves out is taken from the environment. Throws
+// Returns the value of an environment variable, or null.
+using Environment = std::function<const char*(const char* name)>;
+
+// Reads the file that BALANCER_CONFIG names; keys that it omits are taken from the environment. Throws
 // ConfigError.
-Config load_config(const Environment& environment);
-// The same, but a file that can't be read is tried again for a second: at the start there is no former
-// configuration to go on with.
-Config load_config_at_start(const Environment& environment);
-// The same of a text, for tests.
-Config parse_config(const std::string& text, const Environment& environment);
+[[nodiscard]] Config load_config(const Environment& environment);
+// Retries a file that can't be read for a second, because at the start there is no previous configuration.
+// Blocks meanwhile. Throws ConfigError.
+[[nodiscard]] Config load_config_at_start(const Environment& environment);
+// Parses the text of a configuration file. Throws ConfigError.
+[[nodiscard]] Config parse_config(const std::string& text, const Environment& environment);
 
 }  // namespace gateway::server
--- a/src/server/config_reloader.cpp
+++ b/src/server/config_reloader.cpp
@@ -10,42 +10,43 @@
 using Steady = std::chrono::steady_clock;
 using namespace std::chrono_literals;
 
-// The former discovery closes its connections 1.5 s after the signal.
-constexpr std::chrono::milliseconds read_again = 100ms, read_again_most = 5s;
+// The previous discovery closes its connections 1.5 s after the signal, so the file is retried often.
+constexpr std::chrono::milliseconds retry_interval = 100ms;
+constexpr std::chrono::milliseconds max_retry_time = 5s;
 }  // namespace
 
 ConfigReloader::ConfigReloader(boost::asio::io_context& io, Environment environment,
                                std::function<void(const Config&)> on_config)
     : environment_(std::move(environment)),
       on_config_(std::move(on_config)),
-      hangups_(io, SIGHUP),
-      pause_(io) {
-    await_signal();
+      hangup_signals_(io, SIGHUP),
+      retry_timer_(io) {
+    wait_for_signal();
 }
 
-void ConfigReloader::await_signal() {
-    hangups_.async_wait([this](const boost::system::error_code& ec, int) {
+void ConfigReloader::wait_for_signal() {
+    hangup_signals_.async_wait([this](const boost::system::error_code& ec, int) {
         if (ec) return;
-        give_up_ = Steady::now() + read_again_most;
-        read();
-        await_signal();
+        give_up_at_ = Steady::now() + max_retry_time;
+        load();
+        wait_for_signal();
     });
 }
 
-void ConfigReloader::read() {
-    pause_.cancel();
+void ConfigReloader::load() {
+    retry_timer_.cancel();
     try {
         return on_config_(load_config(environment_));
     } catch (const std::exception& error) {
-        const bool gives_up = Steady::now() >= give_up_;
+        const bool gives_up = Steady::now() >= give_up_at_;
         LogLine(gives_up ? LogLevel::error : LogLevel::warning, "configuration_kept")
             .with("error", error.what())
             .with("read_again", gives_up ? "no" : "yes");
         if (gives_up) return;
     }
-    pause_.expires_after(read_again);
-    pause_.async_wait([this](const boost::system::error_code& stopped) {
-        if (!stopped) read();
+    retry_timer_.expires_after(retry_interval);
+    retry_timer_.async_wait([this](const boost::system::error_code& cancelled) {
+        if (!cancelled) load();
     });
 }
 
--- a/src/server/config_reloader.h
+++ b/src/server/config_reloader.h
@@ -1,4 +1,4 @@
-// Takes in a new configuration on SIGHUP.
+// Reloads the configuration on SIGHUP.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,22 +11,23 @@
 
 namespace gateway::server {
 
-// A file that can't be read or is half written at the signal is read again for some seconds: what it is to
-// say counts from the signal on. After that the gateway goes on with what it has.
+// A file that can't be read, or is invalid because it is half written, is retried for some seconds after the
+// signal. After that the current configuration stays in force.
 class ConfigReloader {
   public:
+    // Calls `on_config` with each new configuration; an exception that it throws counts as an invalid file.
     ConfigReloader(boost::asio::io_context& io, Environment environment,
                    std::function<void(const Config&)> on_config);
 
   private:
-    void await_signal();
-    void read();
+    void wait_for_signal();
+    void load();
 
     Environment environment_;
     std::function<void(const Config&)> on_config_;
-    boost::asio::signal_set hangups_;
-    boost::asio::steady_timer pause_;
-    std::chrono::steady_clock::time_point give_up_;
+    boost::asio::signal_set hangup_signals_;
+    boost::asio::steady_timer retry_timer_;
+    std::chrono::steady_clock::time_point give_up_at_;
 };
 
 }  // namespace gateway::server
--- a/src/server/endpoint_list.cpp
+++ b/src/server/endpoint_list.cpp
@@ -4,6 +4,34 @@
 #include <charconv>
 
 namespace gateway::server {
+namespace {
+
+EndpointState read_state(json::object entry) {
+    const std::string_view state = json::as_text(json::required(entry, "state"), "state");
+    if (state == "ready") return EndpointState::ready;
+    if (state == "draining") return EndpointState::draining;
+    if (state == "gone") return EndpointState::gone;
+    json::bad("state", "ready, draining or gone");
+}
+
+Endpoint read_entry(json::object entry) {
+    Endpoint endpoint;
+    endpoint.uid = json::as_text(json::required(entry, "uid"), "uid");
+    endpoint.state = read_state(entry);
+    // A host that is gone needs no address.
+    if (json::optional_key(entry, "endpoint") || endpoint.state != EndpointState::gone)
+        endpoint.address = read_endpoint<boost::asio::ip::tcp::endpoint>(
+            json::as_text(json::required(entry, "endpoint"), "endpoint"), "endpoint");
+    if (const auto zone = json::optional_key(entry, "az")) endpoint.zone = json::as_text(*zone, "az");
+    if (const auto kind = json::optional_key(entry, "model")) endpoint.kind = json::as_text(*kind, "model");
+    if (const auto cell = json::optional_key(entry, "pod_group"))
+        endpoint.cell = json::as_integer(*cell, "pod_group");
+    json::read(entry, "capacity_hint", endpoint.weight);
+    if (const auto boot = json::optional_key(entry, "boot_ms"))
+        endpoint.boot_ms = json::as_integer(*boot, "boot_ms");
+    return endpoint;
+}
+}  // namespace
 
 template <class SocketAddress>
 SocketAddress read_endpoint(std::string_view text, std::string_view what) {
@@ -16,38 +44,19 @@
     const auto address = boost::asio::ip::make_address(std::string(host), ec);
     std::uint16_t port = 0;
     const char* const end = text.data() + text.size();
-    const auto read = std::from_chars(text.data() + colon + 1, end, port);
-    if (ec || read.ec != std::errc() || read.ptr != end) json::bad(what, expected);
+    const auto parsed = std::from_chars(text.data() + colon + 1, end, port);
+    if (ec || parsed.ec != std::errc() || parsed.ptr != end) json::bad(what, expected);
     return {address, port};
 }
 template boost::asio::ip::tcp::endpoint read_endpoint(std::string_view, std::string_view);
 template boost::asio::ip::udp::endpoint read_endpoint(std::string_view, std::string_view);
 
-EndpointList read_endpoint_list(json::object o) {
+EndpointList read_endpoint_list(json::object object) {
     EndpointList list;
-    list.version = json::as_integer(json::required(o, "rev"), "rev");
-    list.whole = json::as_bool(json::required(o, "all"), "all");
-    for (json::element e : json::as_array(json::required(o, "targets"), "targets")) {
-        const json::object row = json::as_object(e, "targets[]");
-        Endpoint t;
-        t.uid = json::as_text(json::required(row, "uid"), "uid");
-        const std::string_view state = json::as_text(json::required(row, "state"), "state");
-        if (state == "ready") t.state = EndpointState::ready;
-        else if (state == "draining") t.state = EndpointState::draining;
-        else if (state == "gone") t.state = EndpointState::gone;
-        else json::bad("state", "ready, draining or gone");
-        // A host that is gone needs no address any more.
-        const auto endpoint = json::optional_key(row, "endpoint");
-        if (endpoint || t.state != EndpointState::gone)
-            t.address = read_endpoint<boost::asio::ip::tcp::endpoint>(
-                json::as_text(json::required(row, "endpoint"), "endpoint"), "endpoint");
-        if (auto zone = json::optional_key(row, "az")) t.zone = json::as_text(*zone, "az");
-        if (auto kind = json::optional_key(row, "model")) t.kind = json::as_text(*kind, "model");
-        if (auto cell = json::optional_key(row, "pod_group")) t.cell = json::as_integer(*cell, "pod_group");
-        json::read(row, "capacity_hint", t.weight);
-        if (auto boot = json::optional_key(row, "boot_ms")) t.boot_ms = json::as_integer(*boot, "boot_ms");
-        list.endpoints.push_back(std::move(t));
-    }
+    list.version = json::as_integer(json::required(object, "rev"), "rev");
+    list.whole = json::as_bool(json::required(object, "all"), "all");
+    for (json::element element : json::as_array(json::required(object, "targets"), "targets"))
+        list.endpoints.push_back(read_entry(json::as_object(element, "targets[]")));
     return list;
 }
 
--- a/src/server/listeners.cpp
+++ b/src/server/listeners.cpp
@@ -32,9 +32,9 @@
     const PeerLink::Endpoint& address = *config_.peer_listen;
     const int own_rank = config_.settings.rank;
     if (socket)
-        return std::make_unique<PeerLink>(io_, address, socket.release(), config_.peers, config_.peers_all,
+        return std::make_unique<PeerLink>(io_, address, socket.release(), config_.peers, config_.all_peers,
                                           own_rank, callbacks_.on_peer_message);
-    return std::make_unique<PeerLink>(io_, address, config_.peers, config_.peers_all, own_rank,
+    return std::make_unique<PeerLink>(io_, address, config_.peers, config_.all_peers, own_rank,
                                       callbacks_.on_peer_message);
 }
 
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -44,7 +44,7 @@
                   }}),
       upgrade_(io, {config_, budget, dispatcher_, hosts_, pool_, listeners_}),
       shutdown_(io, {clock_, config_.settings, guard_, listeners_, requests_, upgrade_}) {
-    EndpointList configured = config_.known;
+    EndpointList configured = config_.initial_endpoints;
     configured.whole = true;
     hosts_.on_endpoint_list(configured);
     if (config_.admin_listen) admin_server_ = bind_with_retry("mgmt", [&] { return make_admin_server(io); });
@@ -99,10 +99,11 @@
     // Where discovery is polled, the watch begins from the configured list: discovery serves half as many
     // gateways if each begins with a call for the complete list.
     std::optional<std::int64_t> known_version;
-    if (!config_.lists_pushed && !config_.known.endpoints.empty()) known_version = config_.known.version;
+    if (!config_.lists_pushed && !config_.initial_endpoints.endpoints.empty())
+        known_version = config_.initial_endpoints.version;
     return std::make_unique<Discovery>(
         io, config_.discovery, on_list,
-        Discovery::timing_for(config_.settings.instances, config_.lists_pushed, config_.ask_within),
+        Discovery::timing_for(config_.settings.instances, config_.lists_pushed, config_.max_poll_interval),
         config_.seed, known_version);
 }
 
--- a/tests/server/config_test.cpp
+++ b/tests/server/config_test.cpp
@@ -9,7 +9,7 @@
     const auto none = [](const char*) -> const char* { return nullptr; };
     const auto complaint = [&](const std::string& text) -> std::string {
         try {
-            parse_config(text, none);
+            static_cast<void>(parse_config(text, none));
         } catch (const ConfigError& error) {
             return error.what();
         }
@@ -30,8 +30,8 @@
     EXPECT_NE(complaint(R"({"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"xyz"})")
                   .find("seed"),
               std::string::npos);
-    EXPECT_THROW(load_config(none), ConfigError);
-    EXPECT_THROW(load_config([](const char*) { return "/nowhere/at/all"; }), ConfigError);
+    EXPECT_THROW(static_cast<void>(load_config(none)), ConfigError);
+    EXPECT_THROW(static_cast<void>(load_config([](const char*) { return "/nowhere/at/all"; })), ConfigError);
 }
 
 TEST(Config, TheEnvironmentStandsInForWhatTheFileLeavesOut) {
