--- a/src/server/peer_link.cpp
+++ b/src/server/peer_link.cpp
@@ -6,8 +6,9 @@
 
 namespace gateway::server {
 namespace {
-// Another process may be given the address as well: one that finds this one silent binds by itself.
-int bound_to(const PeerLink::Endpoint& listen) {
+// Returns a socket that is bound to the address. Another process may bind the address as well, as a successor
+// does that gets no answer from this process.
+int bind_socket(const PeerLink::Endpoint& listen) {
     boost::asio::io_context io;
     boost::asio::ip::udp::socket socket(io, listen.protocol());
     socket.set_option(reuse_port(true));
@@ -19,21 +20,21 @@
 using boost::system::error_code;
 
 PeerLink::PeerLink(boost::asio::io_context& io, const Endpoint& listen, std::vector<Endpoint> peers,
-                   std::optional<Endpoint> everyone, int own_rank, OnMessage on_message)
-    : PeerLink(io, listen, bound_to(listen), std::move(peers), std::move(everyone), own_rank,
+                   std::optional<Endpoint> all_peers, int own_rank, OnMessage on_message)
+    : PeerLink(io, listen, bind_socket(listen), std::move(peers), std::move(all_peers), own_rank,
                std::move(on_message)) {}
 
 PeerLink::PeerLink(boost::asio::io_context& io, const Endpoint& listen, int socket,
-                   std::vector<Endpoint> peers, std::optional<Endpoint> everyone, int own_rank,
+                   std::vector<Endpoint> peers, std::optional<Endpoint> all_peers, int own_rank,
                    OnMessage on_message)
     : socket_(io, listen.protocol(), socket),
       peers_(std::move(peers)),
-      everyone_(std::move(everyone)),
+      all_peers_(std::move(all_peers)),
       own_rank_(own_rank),
       on_message_(std::move(on_message)) {
     socket_.non_blocking(true);
     for (std::size_t rank = 0; rank < peers_.size(); ++rank)
-        rank_of_.emplace(peers_[rank], static_cast<int>(rank));
+        rank_by_address_.emplace(peers_[rank], static_cast<int>(rank));
     this->listen(true);
 }
 
@@ -44,33 +45,34 @@
 }
 
 void PeerLink::send(int to, std::string_view bytes) {
-    if (bytes.size() > most_bytes) return;
-    // What the kernel can't take now is lost, as any datagram may be.
-    const auto post = [&](const Endpoint& where) {
-        error_code lost;
-        socket_.send_to(boost::asio::buffer(bytes.data(), bytes.size()), where, 0, lost);
-    };
+    if (bytes.size() > max_message_bytes) return;
     if (to >= 0) {
-        if (to < static_cast<int>(peers_.size())) post(peers_[static_cast<std::size_t>(to)]);
+        if (to < static_cast<int>(peers_.size())) send_to(peers_[static_cast<std::size_t>(to)], bytes);
         return;
     }
-    if (everyone_) return post(*everyone_);
+    if (all_peers_) return send_to(*all_peers_, bytes);
     for (int rank = 0; rank < static_cast<int>(peers_.size()); ++rank)
-        if (rank != own_rank_) post(peers_[static_cast<std::size_t>(rank)]);
+        if (rank != own_rank_) send_to(peers_[static_cast<std::size_t>(rank)], bytes);
+}
+
+// A datagram that the kernel can't take now is lost, as any datagram may be.
+void PeerLink::send_to(const Endpoint& address, std::string_view bytes) {
+    error_code ignored;
+    socket_.send_to(boost::asio::buffer(bytes.data(), bytes.size()), address, 0, ignored);
 }
 
 void PeerLink::receive() {
-    // Waits first and reads then: a datagram is not taken off a socket that has been handed over meanwhile.
+    // Waits first and reads then, so that no datagram is taken off a socket that is handed over meanwhile.
     socket_.async_wait(boost::asio::ip::udp::socket::wait_read, [this](error_code ec) {
         if (ec == boost::asio::error::operation_aborted || !listening_) return;
-        std::size_t n = 0;
-        if (!ec) n = socket_.receive_from(boost::asio::buffer(buffer_), sender_, 0, ec);
-        // An error is an earlier datagram's that found nobody there. Strangers and what is too long are
-        // dropped.
-        if (!ec && n <= most_bytes) {
-            const auto from = rank_of_.find(sender_);
-            if (from != rank_of_.end() && from->second != own_rank_)
-                on_message_(from->second, {buffer_.data(), n});
+        std::size_t size = 0;
+        if (!ec) size = socket_.receive_from(boost::asio::buffer(buffer_), sender_, 0, ec);
+        // An error belongs to an earlier datagram that found no receiver. Datagrams of unknown senders and
+        // those that are too long are dropped.
+        if (!ec && size <= max_message_bytes) {
+            const auto from = rank_by_address_.find(sender_);
+            if (from != rank_by_address_.end() && from->second != own_rank_)
+                on_message_(from->second, {buffer_.data(), size});
         }
         receive();
     });
--- a/src/server/shared_address.h
+++ b/src/server/shared_address.h
@@ -1,4 +1,4 @@
-// The socket option by which two processes can listen at one address.
+// SO_REUSEPORT, with which two processes can bind the same address during an upgrade.
 #pragma once
 
 #include <sys/socket.h>
@@ -6,5 +6,6 @@
 #include <boost/asio/detail/socket_option.hpp>
 
 namespace gateway::server {
+// For `set_option` of Asio's sockets, which offer no such option themselves.
 using reuse_port = boost::asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 }  // namespace gateway::server
