--- a/src/server/clock.h
+++ b/src/server/clock.h
@@ -1,4 +1,5 @@
-// The gateway's one clock: monotonic, and anchored once to Unix time so that hosts' boot stamps fit it.
+// The gateway's clock: monotonic, and anchored once to Unix time, so that hosts' boot times are comparable
+// with it.
 #pragma once
 
 #include <chrono>
@@ -8,12 +9,14 @@
 using Steady = std::chrono::steady_clock;
 using Micros = std::chrono::microseconds;
 
+// Counts microseconds from the Unix time of its construction. A host's boot time needs no conversion and
+// stays the same each time it is reported.
 class Clock {
   public:
-    // Microseconds that never go back. They begin at the Unix time of the start: a host's boot stamp is a
-    // time of this clock as it comes, and stays the same each time it is told.
-    Micros now() const { return at(Steady::now()); }
-    Micros at(Steady::time_point when) const {
+    // Never goes back.
+    [[nodiscard]] Micros now() const { return at(Steady::now()); }
+    // The clock time at a time of the steady clock.
+    [[nodiscard]] Micros at(Steady::time_point when) const {
         return anchor_ + std::chrono::duration_cast<Micros>(when - start_);
     }
 
--- a/src/server/log.cpp
+++ b/src/server/log.cpp
@@ -15,8 +15,8 @@
 
 constexpr std::string_view default_level = "info";
 constexpr std::array<std::string_view, 5> level_names{"debug", "info", "warning", "error", "off"};
-// A gateway's own work is worth more than its log: so many lines a second, and as many at once.
-constexpr double most_lines_per_second = 1000;
+// Bounds the rate and the burst of lines, because serving requests matters more than the log.
+constexpr double max_lines_per_second = 1000;
 
 spdlog::level::level_enum level_of(LogLevel level) {
     switch (level) {
@@ -34,28 +34,33 @@
     return spdlog::level::off;
 }
 
+// A token bucket of log lines.
 class LineBudget {
   public:
     bool take() {
         const auto now = Steady::now();
-        const double earned = std::chrono::duration<double>(now - since_).count() * most_lines_per_second;
-        lines_ = std::min(most_lines_per_second, lines_ + earned);
-        since_ = now;
-        if (lines_ < 1) return ++dropped_, false;
-        lines_ -= 1;
+        const double refill =
+            std::chrono::duration<double>(now - refilled_at_).count() * max_lines_per_second;
+        tokens_ = std::min(max_lines_per_second, tokens_ + refill);
+        refilled_at_ = now;
+        if (tokens_ < 1) {
+            ++dropped_;
+            return false;
+        }
+        tokens_ -= 1;
         return true;
     }
     std::int64_t take_dropped() { return std::exchange(dropped_, 0); }
 
   private:
-    Steady::time_point since_ = Steady::now();
-    double lines_ = most_lines_per_second;
+    Steady::time_point refilled_at_ = Steady::now();
+    double tokens_ = max_lines_per_second;
     std::int64_t dropped_ = 0;
 };
 
 struct Log {
     Log() : logger("api_gateway", std::make_shared<spdlog::sinks::stderr_sink_st>()) {
-        // The wall clock may be stepped: the monotonic one stands beside it in each line.
+        // Each line also has the monotonic time, because the wall clock may be stepped.
         logger.set_pattern("%Y-%m-%dT%H:%M:%S.%eZ level=%l %v", spdlog::pattern_time_type::utc);
         logger.set_level(spdlog::level::info);
     }
@@ -82,14 +87,14 @@
 }
 bool logs(LogLevel level) { return the_log().logger.should_log(level_of(level)); }
 
-LogLine::LogLine(LogLevel level, std::string_view event) : level_(level), written_(logs(level)) {
-    if (!written_) return;
+LogLine::LogLine(LogLevel level, std::string_view event) : level_(level), enabled_(logs(level)) {
+    if (!enabled_) return;
     with("mono", std::chrono::duration_cast<std::chrono::microseconds>(Steady::now().time_since_epoch()));
     with("event", event);
 }
 LogLine::~LogLine() {
     Log& log = the_log();
-    if (!written_ || !log.budget.take()) return;
+    if (!enabled_ || !log.budget.take()) return;
     if (const std::int64_t dropped = log.budget.take_dropped(); dropped > 0) with("lines_dropped", dropped);
     log.logger.log(level_of(level_), spdlog::string_view_t(text_.data(), text_.size()));
 }
@@ -99,27 +104,31 @@
     text_.append(key).append(1, '=').append(text);
 }
 LogLine& LogLine::with(std::string_view key, std::string_view text) {
-    if (!written_) return *this;
-    if (!needs_quotes(text)) return add(key, text), *this;
+    if (!enabled_) return *this;
+    if (!needs_quotes(text)) {
+        add(key, text);
+        return *this;
+    }
     std::string quoted = "\"";
     for (const char c : text) {
         if (c == '"' || c == '\\') quoted += '\\';
         quoted += c < ' ' ? '?' : c;
     }
-    add(key, quoted += '"');
+    quoted += '"';
+    add(key, quoted);
     return *this;
 }
 LogLine& LogLine::with(std::string_view key, std::int64_t number) {
-    if (!written_) return *this;
+    if (!enabled_) return *this;
     char text[24];
     const auto end = std::to_chars(std::begin(text), std::end(text), number).ptr;
     add(key, {text, static_cast<std::size_t>(end - text)});
     return *this;
 }
-LogLine& LogLine::with(std::string_view key, std::chrono::microseconds span) {
-    if (!written_) return *this;
+LogLine& LogLine::with(std::string_view key, std::chrono::microseconds duration) {
+    if (!enabled_) return *this;
     char text[32];
-    const int size = std::snprintf(text, sizeof text, "%.3fms", static_cast<double>(span.count()) / 1e3);
+    const int size = std::snprintf(text, sizeof text, "%.3fms", static_cast<double>(duration.count()) / 1e3);
     add(key, {text, static_cast<std::size_t>(size)});
     return *this;
 }
--- a/src/server/log.h
+++ b/src/server/log.h
@@ -1,6 +1,6 @@
 // Structured log lines of the gateway on standard error, as key=value pairs.
 //
-// $SPARTRACK_LOG names the least level that is written: error, warning, info (the default), debug or off. At
+// $SPARTRACK_LOG names the lowest level that is written: error, warning, info (the default), debug or off. At
 // debug each request, attempt, answer and closed connection has a line. Lines beyond a bounded rate are
 // dropped and counted.
 #pragma once
@@ -14,13 +14,16 @@
 
 enum class LogLevel { debug, info, warning, error, off };
 
-// Sets the least level that is written, by its name; a null pointer or an unknown name leaves `info`.
+// Sets the lowest level that is written, by its name. Null stands for `info`; an unknown name changes
+// nothing.
 void set_log_level(const char* name);
-bool logs(LogLevel level);
+// Whether lines of that level are written.
+[[nodiscard]] bool logs(LogLevel level);
 
-// One line, written when it ends. Where its level is not written, nothing of it is put together.
+// One line, written by its destructor. If its level is not written, no text is formatted.
 class LogLine {
   public:
+    // `event` names what happened, in snake_case; operators search for it.
     LogLine(LogLevel level, std::string_view event);
     ~LogLine();
     LogLine(const LogLine&) = delete;
@@ -34,13 +37,13 @@
     }
     LogLine& with(std::string_view key, int number) { return with(key, std::int64_t{number}); }
     // In milliseconds, with three decimals.
-    LogLine& with(std::string_view key, std::chrono::microseconds span);
+    LogLine& with(std::string_view key, std::chrono::microseconds duration);
 
   private:
     void add(std::string_view key, std::string_view text);
 
     const LogLevel level_;
-    const bool written_;
+    const bool enabled_;
     std::string text_;
 };
 
--- a/src/server/main.cpp
+++ b/src/server/main.cpp
@@ -1,4 +1,4 @@
-// api_gateway, one api gateway: start, signals, exit status.
+// The program api_gateway: start, signals and exit status.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -13,32 +13,38 @@
 #include "runtime.h"
 
 namespace {
-// Descriptors that are neither clients' nor hosts': standard streams, event loop, signals, listener, peers,
-// watch, the admin server and its callers, the same of a second process during an upgrade.
-constexpr std::size_t set_aside = 48;
+// Descriptors reserved for what is neither a client's nor a host's connection: standard streams, event loop,
+// signals, listener, peer socket, discovery, the admin server and its connections, and those of a second
+// process during an upgrade.
+constexpr std::size_t reserved_descriptors = 48;
 
+// The lower of the configured limit and that of the system.
 std::size_t socket_limit(std::size_t configured) {
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY) return configured;
     return std::min<std::size_t>(configured, limit.rlim_cur);
 }
+
+std::size_t sockets_for_connections(std::size_t sockets) {
+    return sockets > 2 * reserved_descriptors ? sockets - reserved_descriptors : reserved_descriptors;
+}
 }  // namespace
 
 int main() {
     std::signal(SIGPIPE, SIG_IGN);
-    std::signal(SIGHUP, SIG_IGN);  // until the configuration has been read anyway
+    // Until ConfigReloader takes it: the first configuration has not been read yet.
+    std::signal(SIGHUP, SIG_IGN);
     const auto environment = [](const char* name) -> const char* { return std::getenv(name); };
     gateway::server::set_log_level(environment("SPARTRACK_LOG"));
     try {
         const gateway::server::Config config = gateway::server::load_config_at_start(environment);
         const std::size_t sockets = socket_limit(config.sockets);
-        gateway::server::SocketBudget budget(sockets > 2 * set_aside ? sockets - set_aside : set_aside);
+        gateway::server::SocketBudget budget(sockets_for_connections(sockets));
         boost::asio::io_context io(BOOST_ASIO_CONCURRENCY_HINT_UNSAFE);  // one thread: no locks
         boost::asio::signal_set signals(io, SIGTERM, SIGINT);
         gateway::server::Runtime runtime(io, budget, config);
-        // A new configuration moves the watch to the discovery it names.
         gateway::server::ConfigReloader reloader(
-            io, environment, [&](const gateway::server::Config& fresh) { runtime.reload(fresh); });
+            io, environment, [&](const gateway::server::Config& reloaded) { runtime.reload(reloaded); });
         signals.async_wait([&](const boost::system::error_code& ec, int) {
             if (!ec) runtime.drain([&io] { io.stop(); });
         });
