--- a/src/server/bind_retry.h
+++ b/src/server/bind_retry.h
@@ -1,6 +1,7 @@
 // Binding of listeners at the start of the process.
 #pragma once
 
+#include <boost/system/system_error.hpp>
 #include <chrono>
 #include <string>
 #include <thread>
--- a/src/server/handover.cpp
+++ b/src/server/handover.cpp
@@ -205,7 +205,7 @@
         ::bind(socket.get(), reinterpret_cast<const sockaddr*>(&*address), sizeof *address) != 0 ||
         ::listen(socket.get(), listen_backlog) != 0 ||
         ::renameat(folder.get(), temporary_name.c_str(), folder.get(), name_.c_str()) != 0) {
-        LogLine(LogLevel::warning, "upgrade_no_place_to_wait").with("error", std::strerror(errno));
+        LogLine(LogLevel::warning, "upgrade_listen_failed").with("error", std::strerror(errno));
         return;
     }
     stop();
--- a/src/server/host_manager.cpp
+++ b/src/server/host_manager.cpp
@@ -36,13 +36,13 @@
 }
 
 void log_endpoint_list(const EndpointList& list) {
-    LogLine(LogLevel::info, "hosts_listed")
+    LogLine(LogLevel::info, "endpoint_list_received")
         .with("revision", list.version)
         .with("whole", list.whole ? "yes" : "no")
         .with("hosts", static_cast<std::int64_t>(list.endpoints.size()));
     if (!logs(LogLevel::debug)) return;
     for (const Endpoint& endpoint : list.endpoints)
-        LogLine(LogLevel::debug, "host_listed")
+        LogLine(LogLevel::debug, "endpoint_received")
             .with("host", endpoint.uid)
             .with("state", to_string(endpoint.state))
             .with("boot_ms", endpoint.boot_ms);
@@ -97,7 +97,7 @@
 
 void HostManager::set_banned(const std::string& uid, bool banned) {
     const decision::HostBanned event{uid, banned};
-    LogLine(LogLevel::info, banned ? "host_taken_out" : "host_put_back").with("host", uid);
+    LogLine(LogLevel::info, banned ? "host_banned" : "host_unbanned").with("host", uid);
     guard_.host_banned(event);
     dispatcher_.dispatch_before(event, [&] { pool_.ban(uid, banned); });
 }
--- a/src/server/request_handler.cpp
+++ b/src/server/request_handler.cpp
@@ -85,7 +85,7 @@
 
 void RequestHandler::reject_invalid(decision::RequestId id, const RequestError& error) {
     metrics_.request_invalid();
-    LogLine(LogLevel::debug, "request_rejected").with("request", id).with("cause", error.message);
+    LogLine(LogLevel::debug, "request_invalid").with("request", id).with("cause", error.message);
     clients().reject(id, make_answer(error.status, error.message + '\n'));
 }
 
@@ -97,7 +97,7 @@
         return;
     }
     if (request->answered) return;
-    LogLine(LogLevel::debug, "client_left").with("request", id).with("trace", request->trace_id);
+    LogLine(LogLevel::debug, "client_disconnected").with("request", id).with("trace", request->trace_id);
     guard_.client_left(id);
     dispatcher_.dispatch_before(decision::ClientDisconnected{id}, [&] { close(id, *request); });
 }
@@ -163,7 +163,9 @@
     InFlightRequest* const request = requests_.find(key.request);
     if (request == nullptr || request->answered) return false;
     request->streaming_attempt = key.attempt;
-    LogLine(LogLevel::debug, "answer_begun").with("request", key.request).with("trace", request->trace_id);
+    LogLine(LogLevel::debug, "response_started")
+        .with("request", key.request)
+        .with("trace", request->trace_id);
     metrics_.answered(result.answer.result_int());
     guard_.answered(key.request, clock_.now());
     dispatcher_.dispatch_before(decision::ResponseStarted{key.request, uid},
@@ -213,13 +215,13 @@
     InFlightRequest* const request = requests_.find(action.id);
     if (request == nullptr || request->answered) return;
     if (!guard_.may_refuse(action.id)) {
-        LogLine(LogLevel::error, "refusal_held_back")
+        LogLine(LogLevel::error, "rejection_blocked")
             .with("request", action.id)
             .with("trace", request->trace_id);
         execute(decision::FailRequest{action.id, action.reason});
         return;
     }
-    LogLine(LogLevel::debug, "refused")
+    LogLine(LogLevel::debug, "request_shed")
         .with("request", action.id)
         .with("trace", request->trace_id)
         .with("cause", to_string(action.reason))
@@ -235,7 +237,7 @@
 void RequestHandler::execute(const decision::FailRequest& action) {
     InFlightRequest* const request = requests_.find(action.id);
     if (request == nullptr || request->answered) return;
-    LogLine(LogLevel::debug, "failed")
+    LogLine(LogLevel::debug, "request_failed")
         .with("request", action.id)
         .with("trace", request->trace_id)
         .with("cause", to_string(action.reason));
@@ -253,7 +255,7 @@
 void RequestHandler::answer(decision::RequestId id, InFlightRequest& request, Answer&& answer) {
     if (request.answered) return;
     const Micros now = clock_.now();
-    LogLine(LogLevel::debug, "answered")
+    LogLine(LogLevel::debug, "request_answered")
         .with("request", id)
         .with("trace", request.trace_id)
         .with("status", static_cast<int>(answer.result_int()))
--- a/tests/server/log_test.cpp
+++ b/tests/server/log_test.cpp
@@ -50,14 +50,14 @@
 
 TEST_F(LogTest, LinesBeyondTheRateAreDroppedAndCounted) {
     const std::string lines = written([] {
-        for (int i = 0; i < 5000; ++i) LogLine(LogLevel::info, "hosts_listed");
+        for (int i = 0; i < 5000; ++i) LogLine(LogLevel::info, "endpoint_list_received");
     });
     EXPECT_LT(std::count(lines.begin(), lines.end(), '\n'), 4000);
     const std::string next = written([] {
         const auto until = std::chrono::steady_clock::now() + 20ms;
         while (std::chrono::steady_clock::now() < until) {
         }
-        LogLine(LogLevel::info, "hosts_listed");
+        LogLine(LogLevel::info, "endpoint_list_received");
     });
     EXPECT_NE(next.find("lines_dropped="), std::string::npos) << next;
 }
