--- a/tests/server/program.h
+++ b/tests/server/program.h
@@ -1,4 +1,4 @@
-// The program itself, started and ended by a test.
+// Runs the program api_gateway as a child process of a test.
 #pragma once
 
 #include <spawn.h>
@@ -14,16 +14,18 @@
 
 namespace gateway::server::test {
 
-// The program on a configuration file of its own; ended with the test, whatever becomes of that.
+// A process of the program with a configuration file of its own. The destructor kills it if it still runs.
 class Program {
   public:
-    // `shared`: a folder for what the processes of one gateway share; empty: there is none.
-    explicit Program(const std::string& config, const std::string& shared = {}) : folder_(make_folder()) {
+    // `handover_folder`: shared by the processes of one gateway; empty: there is none.
+    explicit Program(const std::string& config, const std::string& handover_folder = {})
+        : folder_(make_folder()) {
         write(config);
-        std::string name = API_GATEWAY_PROGRAM, where = "BALANCER_CONFIG=" + file().string(),
-                    temporary = "TMPDIR=" + shared;
+        std::string name = API_GATEWAY_PROGRAM;
+        std::string config_variable = "BALANCER_CONFIG=" + file().string();
+        std::string folder_variable = "TMPDIR=" + handover_folder;
         char* const arguments[] = {name.data(), nullptr};
-        char* const environment[] = {where.data(), temporary.data(), nullptr};
+        char* const environment[] = {config_variable.data(), folder_variable.data(), nullptr};
         if (posix_spawn(&id_, API_GATEWAY_PROGRAM, nullptr, nullptr, arguments, environment) != 0) id_ = -1;
     }
     Program(const Program&) = delete;
@@ -35,23 +37,31 @@
         }
         std::filesystem::remove_all(folder_);
     }
+    // Overwrites the configuration file.
     void write(const std::string& config) { std::ofstream(file()) << config; }
     void signal(int number) { ::kill(id_, number); }
-    bool ended() { return id_ <= 0 || over_ || (over_ = ::waitpid(id_, &status_, WNOHANG) == id_); }
-    int exit_status() const { return WIFEXITED(status_) ? WEXITSTATUS(status_) : -1; }
+    // Also if it could not be started.
+    [[nodiscard]] bool ended() {
+        if (id_ <= 0 || ended_) return true;
+        ended_ = ::waitpid(id_, &status_, WNOHANG) == id_;
+        return ended_;
+    }
+    // Of a process that has ended; -1 if a signal ended it.
+    [[nodiscard]] int exit_status() const { return WIFEXITED(status_) ? WEXITSTATUS(status_) : -1; }
 
-    static std::filesystem::path make_folder() {
+    // An empty folder; the caller removes it.
+    [[nodiscard]] static std::filesystem::path make_folder() {
         std::string name = (std::filesystem::temp_directory_path() / "api-gateway-XXXXXX").string();
         if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder for the test");
         return name;
     }
 
   private:
-    std::filesystem::path file() const { return folder_ / "config.json"; }
+    [[nodiscard]] std::filesystem::path file() const { return folder_ / "config.json"; }
     std::filesystem::path folder_;
-    pid_t id_ = -1;
-    int status_ = 0;
-    bool over_ = false;
+    pid_t id_ = -1;       // of the process; -1: not started
+    int status_ = 0;      // as waitpid gives it
+    bool ended_ = false;  // and has been waited for
 };
 
 }  // namespace gateway::server::test
--- a/tests/server/program_test.cpp
+++ b/tests/server/program_test.cpp
@@ -1,5 +1,4 @@
-// The program itself: signals and exit status.
-
+// The program: signals and exit status.
 #include "program.h"
 
 namespace gateway::server::test {
@@ -12,50 +11,51 @@
            R"("guarantees":{"startCapacity":0.2,"coldUs":1000000,"fallUs":1000000}}})";
 }
 
-void tells_an_empty_list(Server::Peer& p) {
-    if (p.request.target().find("from=") == std::string::npos) p.ok(R"({"rev":9,"all":true,"targets":[]})");
+void answer_empty_list(Server::Peer& peer) {
+    if (peer.request.target().find("from=") == std::string::npos)
+        peer.ok(R"({"rev":9,"all":true,"targets":[]})");
 }
 
-TEST(Program, TakesANewConfigurationOnHangupAndEndsInGoodOrder) {
+TEST(Program, ReloadsItsConfigurationOnHangupAndShutsDownOnTerm) {
     asio::io_context io;
-    Server first(io, tells_an_empty_list), second(io, tells_an_empty_list);
+    Server first(io, answer_empty_list), second(io, answer_empty_list);
     Program program(config(first.address()));
     ASSERT_TRUE(run_until(io, [&] { return first.requests.size() >= 2; }));
     program.write(config(second.address()));
     program.signal(SIGHUP);
     ASSERT_TRUE(run_until(io, [&] { return second.requests.size() >= 2; }));
-    // What can't be read changes nothing, and the next word is still heard.
+    // An invalid file changes nothing, and the next signal still counts.
     program.write("{broken");
     program.signal(SIGHUP);
     const std::size_t before = second.requests.size();
     ASSERT_TRUE(run_until(io, [&] { return second.requests.size() > before || program.ended(); }));
     ASSERT_FALSE(program.ended());
-    const std::size_t asked = first.requests.size();
+    const std::size_t polls = first.requests.size();
     program.write(config(first.address()));
     program.signal(SIGHUP);
-    ASSERT_TRUE(run_until(io, [&] { return first.requests.size() > asked; }));
+    ASSERT_TRUE(run_until(io, [&] { return first.requests.size() > polls; }));
     program.signal(SIGTERM);
     ASSERT_TRUE(run_until(io, [&] { return program.ended(); }));
     EXPECT_EQ(program.exit_status(), 0);
 }
 
-// The former discovery ends its connections soon after the signal, whether the file could be read then or
+// The previous discovery closes its connections soon after the signal, whether the file could be read then or
 // not.
-TEST(Program, AConfigurationHalfWrittenAtTheSignalIsTakenInWhenItIsWhole) {
+TEST(Program, RetriesAConfigurationThatIsHalfWrittenAtTheSignal) {
     asio::io_context io;
-    Server first(io, tells_an_empty_list), second(io, tells_an_empty_list);
+    Server first(io, answer_empty_list), second(io, answer_empty_list);
     Program program(config(first.address()));
     ASSERT_TRUE(run_until(io, [&] { return first.requests.size() >= 2; }));
-    const std::string whole = config(second.address());
-    program.write(whole.substr(0, whole.size() / 2));
+    const std::string complete = config(second.address());
+    program.write(complete.substr(0, complete.size() / 2));
     program.signal(SIGHUP);
     const auto later = std::chrono::steady_clock::now() + 300ms;
     ASSERT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() >= later; }));
-    program.write(whole);
+    program.write(complete);
     ASSERT_TRUE(run_until(io, [&] { return !second.requests.empty(); }));
 }
 
-TEST(Program, ABadConfigurationEndsTheStart) {
+TEST(Program, AnInvalidConfigurationFailsTheStart) {
     asio::io_context io;
     Program program(R"({"name":"n0","listen":"nowhere"})");
     ASSERT_TRUE(run_until(io, [&] { return program.ended(); }));
--- a/tests/server/upgrade_test.cpp
+++ b/tests/server/upgrade_test.cpp
@@ -1,4 +1,4 @@
-// An upgrade: a second process on the addresses of one that serves.
+// Upgrades: a second process on the addresses of one that serves.
 #include "program.h"
 
 namespace gateway::server::test {
@@ -6,7 +6,7 @@
 
 struct UpgradeTest : ::testing::Test {
     asio::io_context io;
-    std::filesystem::path shared = Program::make_folder();
+    std::filesystem::path handover_folder = Program::make_folder();
     Server host{io, [this](auto& p) { on_request(p, "h"); }};
     Server other{io, [this](auto& p) { on_request(p, "g"); }};
     std::function<void(Server::Peer&, const std::string&)> on_request = [](auto& p, const auto& name) {
@@ -24,10 +24,10 @@
     const std::uint16_t listen = free_port(), peers = free_port(), first_admin = free_port(),
                         next_admin = free_port();
 
-    void TearDown() override { std::filesystem::remove_all(shared); }
+    void TearDown() override { std::filesystem::remove_all(handover_folder); }
     static std::uint16_t free_port() {
-        asio::io_context none;
-        return tcp::acceptor(none, any_port()).local_endpoint().port();
+        asio::io_context unused;
+        return tcp::acceptor(unused, any_port()).local_endpoint().port();
     }
     static tcp::endpoint at(std::uint16_t port) { return {asio::ip::address_v4::loopback(), port}; }
     std::string config(std::uint16_t admin) const {
@@ -43,21 +43,21 @@
                R"("ceilings":{"maxAttempts":1,"peers":true,"retryAfter":true},)"
                R"("guarantees":{"startCapacity":0.2,"coldUs":1000000,"fallUs":1000000}}})";
     }
-    unsigned call(std::uint16_t admin, const std::string& text) {
-        asio::io_context apart;
-        tcp::socket socket(apart);
+    unsigned admin_call(std::uint16_t admin, const std::string& text) {
+        asio::io_context probe_io;
+        tcp::socket socket(probe_io);
         error_code ec;
         socket.connect(at(admin), ec);
         if (ec) return 0;
         socket.close();
-        Client caller(io, at(admin));
-        caller.say(text);
-        EXPECT_TRUE(run_until(io, [&] { return caller.ended(); }));
-        return caller.answers().empty() ? 0u : caller.answers()[0].result_int();
+        Client client(io, at(admin));
+        client.say(text);
+        EXPECT_TRUE(run_until(io, [&] { return client.ended(); }));
+        return client.answers().empty() ? 0u : client.answers()[0].result_int();
     }
-    bool serves(std::uint16_t admin) {
+    bool becomes_ready(std::uint16_t admin) {
         const auto give_up = std::chrono::steady_clock::now() + 20s;
-        while (call(admin, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n") != 200) {
+        while (admin_call(admin, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n") != 200) {
             if (std::chrono::steady_clock::now() > give_up) return false;
             io.restart();
             io.run_for(20ms);
@@ -74,8 +74,8 @@
                (plan == "wide" ? "1" : "2") + "\r\nX-Expires-In-Ms: 4000\r\n" +
                "X-Metering: units=1,spread=1,first=0\r\n\r\n";
     }
-    // The status of the next answer on a connection; 0: it has ended without one.
-    unsigned ask(Client& client, const std::string& text) {
+    // Sends a request and returns the status of the next answer; 0: the connection has ended without one.
+    unsigned status_of(Client& client, const std::string& text) {
         const std::size_t before = client.answers().size();
         client.say(text);
         EXPECT_TRUE(run_until(io, [&] { return client.answers().size() > before || client.ended(); }));
@@ -83,50 +83,50 @@
     }
 };
 
-TEST_F(UpgradeTest, KeptConnectionsGoOnAtTheNewProcess) {
-    Program first(config(first_admin), shared);
-    ASSERT_TRUE(serves(first_admin));
-    Client kept(io, at(listen)), busy(io, at(listen)), half(io, at(listen));
-    ASSERT_EQ(ask(kept, request("a")), 200u);
-    // One request is in hand over the change, and one is half sent.
-    std::shared_ptr<Server::Peer> held;
-    on_request = [&](auto& p, const auto&) { held = p.shared_from_this(); };
+TEST_F(UpgradeTest, KeepAliveConnectionsMoveToTheSuccessor) {
+    Program first(config(first_admin), handover_folder);
+    ASSERT_TRUE(becomes_ready(first_admin));
+    Client idle(io, at(listen)), busy(io, at(listen)), half_sent(io, at(listen));
+    ASSERT_EQ(status_of(idle, request("a")), 200u);
+    // One request is in flight during the upgrade, and one is half sent.
+    std::shared_ptr<Server::Peer> in_flight;
+    on_request = [&](auto& p, const auto&) { in_flight = p.shared_from_this(); };
     busy.say(request("b"));
-    ASSERT_TRUE(run_until(io, [&] { return held != nullptr; }));
+    ASSERT_TRUE(run_until(io, [&] { return in_flight != nullptr; }));
     on_request = [](auto& p, const auto& name) { p.ok(name); };
     const std::string text = request("c");
-    half.say(text.substr(0, 40));
-    Program next(config(next_admin), shared);
-    ASSERT_TRUE(serves(next_admin));
+    half_sent.say(text.substr(0, 40));
+    Program next(config(next_admin), handover_folder);
+    ASSERT_TRUE(becomes_ready(next_admin));
     first.signal(SIGTERM);
-    EXPECT_EQ(ask(kept, request("d")), 200u);
-    half.say(text.substr(40));
-    EXPECT_TRUE(run_until(io, [&] { return half.answers().size() == 1 || half.ended(); }));
-    EXPECT_EQ(half.answers().size(), 1u);
-    held->ok("late");
+    EXPECT_EQ(status_of(idle, request("d")), 200u);
+    half_sent.say(text.substr(40));
+    EXPECT_TRUE(run_until(io, [&] { return half_sent.answers().size() == 1 || half_sent.ended(); }));
+    EXPECT_EQ(half_sent.answers().size(), 1u);
+    in_flight->ok("late");
     ASSERT_TRUE(run_until(io, [&] { return busy.answers().size() == 1 || busy.ended(); }));
     ASSERT_EQ(busy.answers().size(), 1u);
     EXPECT_EQ(busy.answers()[0].result_int(), 200u);
     ASSERT_TRUE(run_until(io, [&] { return first.ended(); }));
     EXPECT_EQ(first.exit_status(), 0);
-    EXPECT_EQ(ask(kept, request("e")), 200u);
-    EXPECT_EQ(ask(busy, request("f")), 200u);
+    EXPECT_EQ(status_of(idle, request("e")), 200u);
+    EXPECT_EQ(status_of(busy, request("f")), 200u);
     Client fresh(io, at(listen));
-    EXPECT_EQ(ask(fresh, request("g")), 200u);
+    EXPECT_EQ(status_of(fresh, request("g")), 200u);
 }
 
-// A process that says it takes over and ends at once: what was on its way to it comes back. The former one is
-// stopped meanwhile, so that it always finds the other's word and end together.
-TEST_F(UpgradeTest, ConnectionsOnTheirWayToAProcessThatEndsComeBack) {
-    Program first(config(first_admin), shared);
-    ASSERT_TRUE(serves(first_admin));
-    Client kept(io, at(listen)), half(io, at(listen));
-    ASSERT_EQ(ask(kept, request("a")), 200u);
+// The successor requests the takeover and ends at once. The predecessor is stopped meanwhile, so that it
+// always finds the request and the end of the connection together.
+TEST_F(UpgradeTest, UndeliveredConnectionsReturnFromASuccessorThatEnds) {
+    Program first(config(first_admin), handover_folder);
+    ASSERT_TRUE(becomes_ready(first_admin));
+    Client idle(io, at(listen)), half_sent(io, at(listen));
+    ASSERT_EQ(status_of(idle, request("a")), 200u);
     const std::string text = request("b");
     first.signal(SIGSTOP);
-    half.say(text.substr(0, 40));
+    half_sent.say(text.substr(0, 40));
     {
-        const std::filesystem::path place = std::filesystem::directory_iterator(shared)->path();
+        const std::filesystem::path place = std::filesystem::directory_iterator(handover_folder)->path();
         using Channel = asio::generic::seq_packet_protocol;
         Channel::socket next(io, Channel(AF_UNIX, 0));
         next.connect(asio::local::stream_protocol::endpoint(place.string()));
@@ -134,92 +134,93 @@
         next.send(asio::buffer(std::string("t")), 0);
     }
     first.signal(SIGCONT);
-    EXPECT_EQ(ask(kept, request("c")), 200u);
-    half.say(text.substr(40));
-    ASSERT_TRUE(run_until(io, [&] { return half.answers().size() == 1 || half.ended(); }));
-    EXPECT_EQ(half.answers().size(), 1u);
+    EXPECT_EQ(status_of(idle, request("c")), 200u);
+    half_sent.say(text.substr(40));
+    ASSERT_TRUE(run_until(io, [&] { return half_sent.answers().size() == 1 || half_sent.ended(); }));
+    EXPECT_EQ(half_sent.answers().size(), 1u);
     Client fresh(io, at(listen));
-    EXPECT_EQ(ask(fresh, request("d")), 200u);
+    EXPECT_EQ(status_of(fresh, request("d")), 200u);
 }
 
-TEST_F(UpgradeTest, WhatAQuotaHasGivenIsNotGivenAgain) {
-    Program first(config(first_admin), shared);
-    ASSERT_TRUE(serves(first_admin));
+TEST_F(UpgradeTest, QuotaSpentBeforeTheUpgradeStaysSpent) {
+    Program first(config(first_admin), handover_folder);
+    ASSERT_TRUE(becomes_ready(first_admin));
     Client client(io, at(listen));
-    int served = 0, n = 0;
-    while (n < 100 && ask(client, request("a" + std::to_string(n++), "basic")) == 200) ++served;
+    int served = 0;
+    int sent = 0;
+    while (sent < 100 && status_of(client, request("a" + std::to_string(sent++), "basic")) == 200) ++served;
     EXPECT_GT(served, 0);
-    EXPECT_LT(n, 100);
-    Program next(config(next_admin), shared);
-    ASSERT_TRUE(serves(next_admin));
-    EXPECT_EQ(ask(client, request("b", "basic")), 429u);
-    EXPECT_EQ(ask(client, request("c")), 200u);
+    EXPECT_LT(sent, 100);
+    Program next(config(next_admin), handover_folder);
+    ASSERT_TRUE(becomes_ready(next_admin));
+    EXPECT_EQ(status_of(client, request("b", "basic")), 429u);
+    EXPECT_EQ(status_of(client, request("c")), 200u);
 }
 
-TEST_F(UpgradeTest, BansAndStandbyHoldAcrossIt) {
-    Program first(config(first_admin), shared);
-    ASSERT_TRUE(serves(first_admin));
-    ASSERT_EQ(call(first_admin, post("/maintenance/enter", "h")), 200u);
-    ASSERT_EQ(call(first_admin, post("/standby")), 200u);
-    Program next(config(next_admin), shared);
-    ASSERT_TRUE(serves(next_admin));
+TEST_F(UpgradeTest, BansAndStandbySurviveTheUpgrade) {
+    Program first(config(first_admin), handover_folder);
+    ASSERT_TRUE(becomes_ready(first_admin));
+    ASSERT_EQ(admin_call(first_admin, post("/maintenance/enter", "h")), 200u);
+    ASSERT_EQ(admin_call(first_admin, post("/standby")), 200u);
+    Program next(config(next_admin), handover_folder);
+    ASSERT_TRUE(becomes_ready(next_admin));
     for (int i = 0; i < 10; ++i) {
         Client client(io, at(listen));
-        EXPECT_EQ(ask(client, request("a" + std::to_string(i))), 200u);
+        EXPECT_EQ(status_of(client, request("a" + std::to_string(i))), 200u);
         EXPECT_FALSE(client.answers().at(0).keep_alive());
     }
     EXPECT_EQ(host.requests.size(), 0u);
-    // What is called for at the old admin server holds at the new one.
-    EXPECT_EQ(call(first_admin, post("/active")), 200u);
-    EXPECT_EQ(call(first_admin, post("/maintenance/exit", "h")), 200u);
-    EXPECT_EQ(call(first_admin, post("/maintenance/enter", "g")), 200u);
+    // Calls to the predecessor's admin server take effect at the successor.
+    EXPECT_EQ(admin_call(first_admin, post("/active")), 200u);
+    EXPECT_EQ(admin_call(first_admin, post("/maintenance/exit", "h")), 200u);
+    EXPECT_EQ(admin_call(first_admin, post("/maintenance/enter", "g")), 200u);
     first.signal(SIGTERM);
     ASSERT_TRUE(run_until(io, [&] { return first.ended(); }));
     Client client(io, at(listen));
-    EXPECT_EQ(ask(client, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"), 200u);
+    EXPECT_EQ(status_of(client, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"), 200u);
     const std::size_t before = other.requests.size();
     for (int i = 0; i < 300 && host.requests.empty(); ++i) {
-        ask(client, request("b" + std::to_string(i)));
+        status_of(client, request("b" + std::to_string(i)));
         io.run_for(10ms);
     }
     EXPECT_GT(host.requests.size(), 0u);
     EXPECT_EQ(other.requests.size(), before);
 }
 
-TEST_F(UpgradeTest, TheOldProcessGoesOnIfTheNewOneEnds) {
-    Program first(config(first_admin), shared);
-    ASSERT_TRUE(serves(first_admin));
+TEST_F(UpgradeTest, ThePredecessorServesAgainIfTheSuccessorEnds) {
+    Program first(config(first_admin), handover_folder);
+    ASSERT_TRUE(becomes_ready(first_admin));
     {
-        Program next(config(next_admin), shared);
-        ASSERT_TRUE(serves(next_admin));
+        Program next(config(next_admin), handover_folder);
+        ASSERT_TRUE(becomes_ready(next_admin));
         next.signal(SIGKILL);
         ASSERT_TRUE(run_until(io, [&] { return next.ended(); }));
     }
     Client client(io, at(listen));
-    EXPECT_EQ(ask(client, request("a")), 200u);
-    Program third(config(next_admin), shared);
-    ASSERT_TRUE(serves(next_admin));
-    EXPECT_EQ(ask(client, request("b")), 200u);
+    EXPECT_EQ(status_of(client, request("a")), 200u);
+    Program third(config(next_admin), handover_folder);
+    ASSERT_TRUE(becomes_ready(next_admin));
+    EXPECT_EQ(status_of(client, request("b")), 200u);
 }
 
-TEST_F(UpgradeTest, ADeadProcessesPlaceAndASilentOneDoNoHarm) {
+TEST_F(UpgradeTest, ADeadOrSilentPredecessorIsSkipped) {
     {
-        Program dead(config(first_admin), shared);
-        ASSERT_TRUE(serves(first_admin));
+        Program dead(config(first_admin), handover_folder);
+        ASSERT_TRUE(becomes_ready(first_admin));
         dead.signal(SIGKILL);
         ASSERT_TRUE(run_until(io, [&] { return dead.ended(); }));
     }
-    Program first(config(first_admin), shared);
-    ASSERT_TRUE(serves(first_admin));
+    Program first(config(first_admin), handover_folder);
+    ASSERT_TRUE(becomes_ready(first_admin));
     first.signal(SIGSTOP);
     const auto before = std::chrono::steady_clock::now();
-    Program next(config(next_admin), shared);
-    EXPECT_TRUE(serves(next_admin));
+    Program next(config(next_admin), handover_folder);
+    EXPECT_TRUE(becomes_ready(next_admin));
     EXPECT_LT(std::chrono::steady_clock::now() - before, 6s);
     first.signal(SIGKILL);
     ASSERT_TRUE(run_until(io, [&] { return first.ended(); }));
     Client client(io, at(listen));
-    EXPECT_EQ(ask(client, request("a")), 200u);
+    EXPECT_EQ(status_of(client, request("a")), 200u);
 }
 
 }  // namespace
