--- a/src/server/discovery.h
+++ b/src/server/discovery.h
@@ -32,10 +32,7 @@
 
 // Polls for the complete list first, or for what is newer than a known list, then watches for what is newer
 // than the last answer. After a failure it polls again on a fresh connection: for the complete list, unless
-// the agent was only overloaded or late, when the changes suffice and cost discovery less. Asks for the whole
-// list first, or for what is newer than a list known before, then for what is newer than the last answer,
-// again and again. An agent that is silent or broken is asked anew on a fresh connection: for the whole list,
-// unless it has only had no room or no time, when what is newer will do and costs discovery less.
+// the agent was only overloaded or late, when the changes suffice and cost discovery less.
 class Discovery {
   public:
     using OnList = std::function<void(const EndpointList&)>;
