--- a/src/server/request_handler.cpp
+++ b/src/server/request_handler.cpp
@@ -13,6 +13,9 @@
 using namespace std::chrono_literals;
 
 namespace {
+// RequestArrived::plan of a request without a plan.
+constexpr int no_plan = -1;
+
 // In seconds, rounded up to milliseconds.
 std::string format_retry_after(Micros retry_after) {
     char text[32];
@@ -37,39 +40,35 @@
       timers_(dependencies.timers),
       pool_(dependencies.pool),
       listeners_(dependencies.listeners),
-      check_(dependencies.settings) {}
+      validator_(dependencies.settings) {}
 
 // ---- clients ----
 
 void RequestHandler::on_request(ClientRequest&& request) {
-    RequestFacts facts;
-    Complaint complaint = check_.read(request.message, facts);
+    RequestAttributes attributes;
+    std::optional<RequestError> error = validator_.validate(request.message, attributes);
     // A host would see a second copy of a request in flight, and its answer could reach the wrong one.
-    if (!complaint && requests_.contains_trace_id(facts.id))
-        complaint = {http::status::conflict, "X-Trace-Id: expected one that is not open"};
+    if (!error && requests_.contains_trace_id(attributes.trace_id))
+        error = {http::status::conflict, "X-Trace-Id: expected one that is not open"};
     metrics_.request_received();
-    if (complaint) {
-        metrics_.request_rejected();
-        LogLine(LogLevel::debug, "request_rejected")
-            .with("request", request.id)
-            .with("cause", complaint.text);
-        clients().reject(request.id, make_answer(complaint.status, complaint.text + '\n'));
+    if (error) {
+        reject_invalid(request.id, *error);
         return;
     }
+    const Micros deadline = clock_.at(request.arrived) + attributes.time_left;
     decision::RequestArrived event;
     event.id = request.id;
-    event.customer = std::move(facts.customer);
-    event.plan = facts.plan;
-    event.request_class = facts.request_class;
-    event.units = facts.units;
-    const Micros deadline = clock_.at(request.arrived) + facts.time_left;
+    event.customer = std::move(attributes.customer);
+    event.plan = attributes.plan.value_or(no_plan);
+    event.request_class = attributes.request_class;
+    event.units = attributes.units;
     event.time_left = deadline - clock_.now();
-    event.set_size = facts.set_size;
-    event.set_start = facts.set_start;
+    event.set_size = attributes.set_size;
+    event.set_start = attributes.set_start;
     InFlightRequest arrived;
     arrived.message = std::move(request.message);
     arrived.body_room = std::move(request.room);
-    arrived.trace_id = std::move(facts.id);
+    arrived.trace_id = std::move(attributes.trace_id);
     arrived.deadline = deadline;
     const InFlightRequest& added = requests_.add(request.id, std::move(arrived));
     LogLine(LogLevel::debug, "request_received")
@@ -84,6 +83,12 @@
     dispatcher_.dispatch(std::move(event));
 }
 
+void RequestHandler::reject_invalid(decision::RequestId id, const RequestError& error) {
+    metrics_.request_invalid();
+    LogLine(LogLevel::debug, "request_invalid").with("request", id).with("cause", error.message);
+    clients().reject(id, make_answer(error.status, error.message + '\n'));
+}
+
 void RequestHandler::on_client_disconnected(decision::RequestId id) {
     InFlightRequest* const request = requests_.find(id);
     if (request == nullptr) return;
@@ -92,7 +97,7 @@
         return;
     }
     if (request->answered) return;
-    LogLine(LogLevel::debug, "client_left").with("request", id).with("trace", request->trace_id);
+    LogLine(LogLevel::debug, "client_disconnected").with("request", id).with("trace", request->trace_id);
     guard_.client_left(id);
     dispatcher_.dispatch_before(decision::ClientDisconnected{id}, [&] { close(id, *request); });
 }
@@ -158,7 +163,9 @@
     InFlightRequest* const request = requests_.find(key.request);
     if (request == nullptr || request->answered) return false;
     request->streaming_attempt = key.attempt;
-    LogLine(LogLevel::debug, "answer_begun").with("request", key.request).with("trace", request->trace_id);
+    LogLine(LogLevel::debug, "response_started")
+        .with("request", key.request)
+        .with("trace", request->trace_id);
     metrics_.answered(result.answer.result_int());
     guard_.answered(key.request, clock_.now());
     dispatcher_.dispatch_before(decision::ResponseStarted{key.request, uid},
@@ -208,18 +215,18 @@
     InFlightRequest* const request = requests_.find(action.id);
     if (request == nullptr || request->answered) return;
     if (!guard_.may_refuse(action.id)) {
-        LogLine(LogLevel::error, "refusal_held_back")
+        LogLine(LogLevel::error, "rejection_blocked")
             .with("request", action.id)
             .with("trace", request->trace_id);
         execute(decision::FailRequest{action.id, action.reason});
         return;
     }
-    LogLine(LogLevel::debug, "refused")
+    LogLine(LogLevel::debug, "request_shed")
         .with("request", action.id)
         .with("trace", request->trace_id)
         .with("cause", to_string(action.reason))
         .with("retry_after", action.retry_after);
-    metrics_.refused(action.reason);
+    metrics_.request_shed(action.reason);
     Answer rejection = make_answer(request->attempts_started == 0 ? http::status::too_many_requests
                                                                   : http::status::service_unavailable);
     if (action.retry_after > 0us)
@@ -230,11 +237,11 @@
 void RequestHandler::execute(const decision::FailRequest& action) {
     InFlightRequest* const request = requests_.find(action.id);
     if (request == nullptr || request->answered) return;
-    LogLine(LogLevel::debug, "failed")
+    LogLine(LogLevel::debug, "request_failed")
         .with("request", action.id)
         .with("trace", request->trace_id)
         .with("cause", to_string(action.reason));
-    metrics_.failed(action.reason);
+    metrics_.request_failed(action.reason);
     answer(action.id, *request, make_answer(http::status::gateway_timeout));
 }
 
@@ -248,7 +255,7 @@
 void RequestHandler::answer(decision::RequestId id, InFlightRequest& request, Answer&& answer) {
     if (request.answered) return;
     const Micros now = clock_.now();
-    LogLine(LogLevel::debug, "answered")
+    LogLine(LogLevel::debug, "request_answered")
         .with("request", id)
         .with("trace", request.trace_id)
         .with("status", static_cast<int>(answer.result_int()))
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -44,7 +44,7 @@
                   }}),
       upgrade_(io, {config_, budget, dispatcher_, hosts_, pool_, listeners_}),
       shutdown_(io, {clock_, config_.settings, guard_, listeners_, requests_, upgrade_}) {
-    EndpointList configured = config_.known;
+    EndpointList configured = config_.initial_endpoints;
     configured.whole = true;
     hosts_.on_endpoint_list(configured);
     if (config_.admin_listen) admin_server_ = bind_with_retry("mgmt", [&] { return make_admin_server(io); });
@@ -99,10 +99,11 @@
     // Where discovery is polled, the watch begins from the configured list: discovery serves half as many
     // gateways if each begins with a call for the complete list.
     std::optional<std::int64_t> known_version;
-    if (!config_.lists_pushed && !config_.known.endpoints.empty()) known_version = config_.known.version;
+    if (!config_.lists_pushed && !config_.initial_endpoints.endpoints.empty())
+        known_version = config_.initial_endpoints.version;
     return std::make_unique<Discovery>(
         io, config_.discovery, on_list,
-        Discovery::pace_among(config_.settings.instances, config_.lists_pushed, config_.ask_within),
+        Discovery::timing_for(config_.settings.instances, config_.lists_pushed, config_.max_poll_interval),
         config_.seed, known_version);
 }
 
@@ -151,16 +152,16 @@
         case AdminCall::Kind::status:
             return ready() ? http::status::ok : http::status::service_unavailable;
         case AdminCall::Kind::ban:
-        case AdminCall::Kind::put_back: {
+        case AdminCall::Kind::unban: {
             if (!hosts_.known_names().contains(call.host)) return http::status::not_found;
             const bool banned = call.kind == AdminCall::Kind::ban;
             hosts_.set_banned(call.host, banned);
             upgrade_.notify_ban(call.host, banned);
             break;
         }
-        case AdminCall::Kind::stand_by:
-        case AdminCall::Kind::activate: {
-            const bool standby = call.kind == AdminCall::Kind::stand_by;
+        case AdminCall::Kind::enter_standby:
+        case AdminCall::Kind::leave_standby: {
+            const bool standby = call.kind == AdminCall::Kind::enter_standby;
             listeners_.set_standby(standby);
             upgrade_.notify_standby(standby);
             break;
@@ -173,7 +174,7 @@
     LogLine(LogLevel::info, "configuration_reloaded")
         .with("discovery",
               config.discovery.address().to_string() + ':' + std::to_string(config.discovery.port()));
-    discovery_->move_to(config.discovery);
+    discovery_->set_agent(config.discovery);
 }
 
 void Runtime::drain(std::function<void()> on_drained) { shutdown_.start(*discovery_, std::move(on_drained)); }
