--- a/tests/server/system_call_faults.h
+++ b/tests/server/system_call_faults.h
@@ -1,4 +1,4 @@
-// Makes system calls on sockets fail or take only a part of what they are given, as Linux may at any time.
+// Fault injection: makes system calls on sockets fail or write only a part, as Linux may at any time.
 #pragma once
 
 #include <cstddef>
@@ -6,7 +6,7 @@
 
 namespace gateway::server::test {
 
-// While one exists, `send` and `sendmsg` of this process take a third of the bytes, one at least.
+// While one exists, `send` and `sendmsg` of this process write a third of the bytes, one at least.
 class ShortWrites {
   public:
     ShortWrites();
@@ -15,15 +15,17 @@
     ShortWrites& operator=(const ShortWrites&) = delete;
 };
 
+// The system calls that can be made to fail.
 enum class SocketCall { accept, connect, socket };
 
-// While one exists, the next calls of that kind fail with these errors, in order, and those after them
-// succeed.
+// While one exists, the next calls of that kind fail with these errno values, in order, and those after them
+// succeed. One may exist at a time.
 class FailingCalls {
   public:
     FailingCalls(SocketCall call, std::initializer_list<int> errors);
     ~FailingCalls();
-    std::size_t left() const;  // that have not been made
+    // How many of the errors have not been used.
+    [[nodiscard]] std::size_t remaining() const;
     FailingCalls(const FailingCalls&) = delete;
     FailingCalls& operator=(const FailingCalls&) = delete;
 
--- a/tests/server/system_call_test.cpp
+++ b/tests/server/system_call_test.cpp
@@ -1,4 +1,4 @@
-// System calls that fail for a moment or take a part only: all rules hold.
+// The server's connections when system calls fail temporarily or write only a part.
 #include "admin_server.h"
 #include "discovery.h"
 #include "handover.h"
@@ -11,10 +11,10 @@
 namespace gateway::server::test {
 namespace {
 
-constexpr std::size_t calls = 20;
+constexpr std::size_t call_count = 20;
 
-// Whoever writes goes on after a short write: the socket was writable all along, so no event tells of it.
-TEST(ShortWrites, EachAnswerToAClientComesWhole) {
+// A writer continues after a short write, because the socket stays writable and no event reports it.
+TEST(ShortWrites, EachResponseToAClientIsComplete) {
     asio::io_context io;
     SocketBudget budget(64);
     std::optional<ClientServer> server;
@@ -27,27 +27,27 @@
     server->open();
     const ShortWrites short_writes;
     Client client(io, server->local_endpoint());
-    for (std::size_t call = 1; call <= calls; ++call) {
+    for (std::size_t call = 1; call <= call_count; ++call) {
         client.say("GET /api HTTP/1.1\r\nHost: x\r\n\r\n");
         ASSERT_TRUE(run_until(io, [&] { return client.answers().size() == call; })) << call;
     }
 }
 
-TEST(ShortWrites, EachCallToDiscoveryGoesOut) {
+TEST(ShortWrites, EachRequestToDiscoveryIsSent) {
     asio::io_context io;
-    Server agent(io, [](auto& p) { p.ok(R"({"rev":1,"all":true,"targets":[]})"); });
+    Server agent(io, [](auto& peer) { peer.ok(R"({"rev":1,"all":true,"targets":[]})"); });
     std::size_t lists = 0;
     const ShortWrites short_writes;
-    Discovery watch(io, agent.endpoint(), [&](const EndpointList&) { ++lists; });
-    ASSERT_TRUE(run_until(io, [&] { return lists == calls; }));
+    Discovery discovery(io, agent.endpoint(), [&](const EndpointList&) { ++lists; });
+    ASSERT_TRUE(run_until(io, [&] { return lists == call_count; }));
     EXPECT_EQ(agent.peers.size(), 1u);
 }
 
-TEST(ShortWrites, EachOperatorsCallIsAnswered) {
+TEST(ShortWrites, EachAdminRequestIsAnswered) {
     asio::io_context io;
     AdminServer admin(io, any_port(), [](const AdminCall&) { return http::status::ok; });
     const ShortWrites short_writes;
-    for (std::size_t call = 0; call < calls; ++call) {
+    for (std::size_t call = 0; call < call_count; ++call) {
         Client caller(io, admin.local_endpoint());
         caller.say("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
         ASSERT_TRUE(run_until(io, [&] { return caller.ended(); }));
@@ -55,43 +55,45 @@
     }
 }
 
-// A failure of the own machine says nothing of the host: it is tried again while the connect may take.
-TEST(FailingConnects, AFailureOfTheOwnMachineIsNotTheHosts) {
+// A local failure says nothing about the host: the connect is retried until its timeout.
+TEST(FailingConnects, ALocalFailureIsRetried) {
     asio::io_context io;
     SocketBudget budget(64);
-    Server host(io, [](auto& p) { p.ok("served"); });
-    std::vector<HostOutcome> ended;
-    HostPool pool(
-        io, budget, 500ms, 30s,
-        HostPool::Callbacks{[&](const auto&, const auto&, auto&& result) { ended.push_back(result.outcome); },
-                            [](const auto&, auto&&) {}});
+    Server host(io, [](auto& peer) { peer.ok("served"); });
+    std::vector<HostOutcome> outcomes;
+    HostPool pool(io, budget, 500ms, 30s,
+                  HostPool::Callbacks{
+                      [&](const auto&, const auto&, auto&& result) { outcomes.push_back(result.outcome); },
+                      [](const auto&, auto&&) {}});
     Endpoint endpoint;
-    endpoint.uid = "h", endpoint.address = host.endpoint(), endpoint.state = EndpointState::ready;
+    endpoint.uid = "h";
+    endpoint.address = host.endpoint();
+    endpoint.state = EndpointState::ready;
     pool.update({1, false, {endpoint}});
     std::uint64_t id = 0;
     const auto send = [&] {
         Request message(http::verb::get, "/api", 11);
         pool.attempt({++id, 0}, "h", message, 2s);
-        return run_until(io, [&] { return ended.size() == id; });
+        return run_until(io, [&] { return outcomes.size() == id; });
     };
     {
         const FailingCalls failing(SocketCall::connect, {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS});
         ASSERT_TRUE(send());
-        EXPECT_EQ(ended.back(), HostOutcome::success);
+        EXPECT_EQ(outcomes.back(), HostOutcome::success);
         host.peers.back()->close();
     }
     {
         const FailingCalls failing(SocketCall::socket, {ENFILE, EMFILE, ENOMEM});
         ASSERT_TRUE(send());
-        EXPECT_EQ(ended.back(), HostOutcome::success);
+        EXPECT_EQ(outcomes.back(), HostOutcome::success);
     }
 }
 
-// Found by the soak: a restart in a moment without descriptors or buffers ended the process.
-TEST(FailingSockets, AGatewayStartsThroughAMomentWithoutDescriptors) {
+// Regression: a restart during a temporary shortage of descriptors or buffers ended the process.
+TEST(FailingSockets, AGatewayStartsDuringAShortageOfDescriptors) {
     asio::io_context io;
     SocketBudget budget(64);
-    Server agent(io, [](auto& p) { p.ok(R"({"rev":1,"all":true,"targets":[]})"); });
+    Server agent(io, [](auto& peer) { peer.ok(R"({"rev":1,"all":true,"targets":[]})"); });
     const Config config = parse_config(
         R"({"name":"n0","listen":"127.0.0.1:0","discovery":")" + agent.address() +
             R"(","settings":{"rank":0,"instances":1,"tickUs":4000,"requestClasses":[{"name":"read",)"
@@ -106,9 +108,9 @@
     EXPECT_TRUE(run_until(io, [&] { return client.answers().size() == 1; }));
 }
 
-// An accept that fails for a moment leaves the connection in the backlog: a gateway that ends then loses what
-// it asks.
-TEST(FailingAccepts, AConnectionInTheBacklogIsNotPassedOverAtTheEnd) {
+// An accept that fails temporarily leaves the connection in the backlog: a gateway that ends then would lose
+// its request.
+TEST(FailingAccepts, AConnectionInTheBacklogIsAcceptedBeforeShutdown) {
     asio::io_context io;
     SocketBudget budget(64);
     ClientServer server(
@@ -119,26 +121,26 @@
     tcp::socket client(io);
     client.connect(server.local_endpoint());
     const FailingCalls failing(SocketCall::accept, {ENFILE});
-    EXPECT_TRUE(server.take_rest());  // something is there still
-    EXPECT_TRUE(server.take_rest());  // and has come now
+    EXPECT_TRUE(server.take_rest());  // one is still in the backlog
+    EXPECT_TRUE(server.take_rest());  // and is accepted now
     EXPECT_FALSE(server.take_rest());
 }
 
-// With no descriptors left, the connection that waits would wake the loop at once and for ever.
-TEST(FailingAccepts, TheWaitForTheNextProcessDoesNotSpin) {
+// Without a free descriptor, the connection in the backlog would wake the loop over and over.
+TEST(FailingAccepts, TheWaitForTheNextProcessIsNoBusyLoop) {
     asio::io_context io;
     const std::filesystem::path folder = Program::make_folder();
     HandoverPlace place(io, folder.string(), "x");
-    bool came = false;
-    place.wait([&](std::shared_ptr<HandoverChannel>) { came = true; });
+    bool connected = false;
+    place.wait([&](std::shared_ptr<HandoverChannel>) { connected = true; });
     const FailingCalls failing(SocketCall::accept,
                                {EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE});
-    const auto comer = HandoverPlace(io, folder.string(), "x").find();
-    ASSERT_NE(comer, nullptr);
+    const auto next_process = HandoverPlace(io, folder.string(), "x").find();
+    ASSERT_NE(next_process, nullptr);
     const auto until = std::chrono::steady_clock::now() + 30ms;
     ASSERT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() >= until; }));
-    EXPECT_GT(failing.left(), 4u);
-    ASSERT_TRUE(run_until(io, [&] { return came; }));
+    EXPECT_GT(failing.remaining(), 4u);
+    ASSERT_TRUE(run_until(io, [&] { return connected; }));
     std::filesystem::remove_all(folder);
 }
 
