--- a/src/server/host_response_reader.h
+++ b/src/server/host_response_reader.h
@@ -56,10 +56,10 @@
     // Whether the body is longer than is held in memory, as far as is known by now.
     [[nodiscard]] bool exceeds_buffered_body();
     // Moves the response out. Requires that it is complete.
-    [[nodiscard]] http::response<PieceBody> release() { return parser_->release(); }
+    [[nodiscard]] http::response<StreamedBody> release() { return parser_->release(); }
 
   private:
-    using Parser = http::response_parser<PieceBody>;
+    using Parser = http::response_parser<StreamedBody>;
 
     void reset_parser();
     [[nodiscard]] bool has_safe_length() const;
--- a/src/server/http.h
+++ b/src/server/http.h
@@ -12,6 +12,7 @@
 namespace gateway::server {
 namespace http = boost::beast::http;
 
+// Messages with the complete body in memory.
 using Request = http::request<http::string_body>;
 using Answer = http::response<http::string_body>;
 
@@ -22,11 +23,23 @@
 // The limit of a streamed response's body, in bytes.
 constexpr std::uint64_t max_streamed_body_bytes = 32ull * 1024 * 1024;
 
+// Appends the bytes of a Beast buffer sequence to `out` and returns how many there were.
+template <class Buffers>
+std::size_t append_buffers(const Buffers& buffers, std::string& out) {
+    std::size_t size = 0;
+    for (const boost::asio::const_buffer buffer : boost::beast::buffers_range_ref(buffers)) {
+        out.append(static_cast<const char*>(buffer.data()), buffer.size());
+        size += buffer.size();
+    }
+    return size;
+}
+
 // A Beast body type that holds only the part of the body not taken yet, because a long body must never be
 // complete in memory. Beast's own string_body would allocate as much as the header announces.
-struct PieceBody {
+struct StreamedBody {
     using value_type = std::string;
     static std::uint64_t size(const value_type& body) { return body.size(); }
+
     class reader {
       public:
         template <bool is_request, class Fields>
@@ -35,12 +48,7 @@
         template <class Buffers>
         std::size_t put(const Buffers& buffers, boost::system::error_code& ec) {
             ec = {};
-            std::size_t size = 0;
-            for (const boost::asio::const_buffer buffer : boost::beast::buffers_range_ref(buffers)) {
-                body_.append(static_cast<const char*>(buffer.data()), buffer.size());
-                size += buffer.size();
-            }
-            return size;
+            return append_buffers(buffers, body_);
         }
         void finish(boost::system::error_code& ec) { ec = {}; }
 
@@ -64,12 +72,7 @@
     boost::system::error_code ec;
     while (!serializer.is_done() && !ec)
         serializer.next(ec, [&](boost::system::error_code&, const auto& buffers) {
-            std::size_t size = 0;
-            for (const boost::asio::const_buffer buffer : boost::beast::buffers_range_ref(buffers)) {
-                out.append(static_cast<const char*>(buffer.data()), buffer.size());
-                size += buffer.size();
-            }
-            serializer.consume(size);
+            serializer.consume(append_buffers(buffers, out));
         });
 }
 
@@ -83,12 +86,7 @@
     boost::system::error_code ec;
     while (!serializer.is_header_done() && !ec)
         serializer.next(ec, [&](boost::system::error_code&, const auto& buffers) {
-            std::size_t size = 0;
-            for (const boost::asio::const_buffer buffer : boost::beast::buffers_range_ref(buffers)) {
-                out.append(static_cast<const char*>(buffer.data()), buffer.size());
-                size += buffer.size();
-            }
-            serializer.consume(size);
+            serializer.consume(append_buffers(buffers, out));
         });
 }
 
