--- a/src/server/client_connection.cpp
+++ b/src/server/client_connection.cpp
@@ -311,7 +311,7 @@
 }
 
 // Answers a request after which the connection can't be read on, and ends the connection.
-void ClientConnection::fail(const RequestError& error) {
+void ClientConnection::fail(const UnreadableRequest& error) {
     reader_.abort();
     keep_alive_ = false;
     respond(make_answer(error.status, std::string(error.text) + '\n'));
--- a/src/server/client_connection.h
+++ b/src/server/client_connection.h
@@ -138,7 +138,7 @@
     [[nodiscard]] bool parse_some();
     void extend_body_deadline(bool header_completed, std::size_t bytes);
     void take_request();
-    void fail(const RequestError& error);
+    void fail(const UnreadableRequest& error);
 
     void write();
     [[nodiscard]] bool write_from(std::size_t offset);
--- a/src/server/client_request_reader.cpp
+++ b/src/server/client_request_reader.cpp
@@ -13,12 +13,13 @@
 // A body up to this many bytes reserves none, because it costs less than its connection does anyway.
 constexpr std::size_t max_unreserved_body_bytes = 4096;
 
-std::optional<RequestError> error_of(error_code ec) {
+std::optional<UnreadableRequest> error_of(error_code ec) {
     if (!ec || ec == http::error::need_more) return std::nullopt;
     if (ec == http::error::header_limit)
-        return RequestError{http::status::request_header_fields_too_large, "header too large"};
-    if (ec == http::error::body_limit) return RequestError{http::status::payload_too_large, "body too large"};
-    return RequestError{http::status::bad_request, "malformed request"};
+        return UnreadableRequest{http::status::request_header_fields_too_large, "header too large"};
+    if (ec == http::error::body_limit)
+        return UnreadableRequest{http::status::payload_too_large, "body too large"};
+    return UnreadableRequest{http::status::bad_request, "malformed request"};
 }
 }  // namespace
 
@@ -71,12 +72,12 @@
     return progress;
 }
 
-std::optional<RequestError> ClientRequestReader::check_header() {
+std::optional<UnreadableRequest> ClientRequestReader::check_header() {
     if (!length_within_limit(*parser_))
-        return RequestError{http::status::payload_too_large, "body too large"};
+        return UnreadableRequest{http::status::payload_too_large, "body too large"};
     if (!has_unambiguous_length(parser_->get().base()))
-        return RequestError{http::status::bad_request, "unclear length"};
-    if (!reserve_body()) return RequestError{http::status::service_unavailable, "no room for the body"};
+        return UnreadableRequest{http::status::bad_request, "unclear length"};
+    if (!reserve_body()) return UnreadableRequest{http::status::service_unavailable, "no room for the body"};
     return std::nullopt;
 }
 
--- a/src/server/client_request_reader.h
+++ b/src/server/client_request_reader.h
@@ -14,8 +14,8 @@
 
 namespace gateway::server {
 
-// A request that the gateway rejects without forwarding it, after which the connection can't be read on.
-struct RequestError {
+// Why the bytes of a request cannot be read; nothing more can be read from its connection either.
+struct UnreadableRequest {
     http::status status;
     const char* text;  // the body of the response, without the end of its line
 };
@@ -29,7 +29,7 @@
 
     // What one call of `parse` has achieved.
     struct Progress {
-        std::optional<RequestError> error;
+        std::optional<UnreadableRequest> error;
         std::size_t consumed_bytes = 0;
         bool header_completed = false;  // by this call
     };
@@ -84,7 +84,7 @@
   private:
     using Parser = http::request_parser<http::string_body>;
 
-    [[nodiscard]] std::optional<RequestError> check_header();
+    [[nodiscard]] std::optional<UnreadableRequest> check_header();
     [[nodiscard]] bool reserve_body();
 
     ByteBudget& body_budget_;
