--- /dev/null
+++ b/tests/server/operator_test.cpp
@@ -0,0 +1,86 @@
+// What operators do through the admin server: ban hosts, set standby.
+#include "gateway_fixture.h"
+
+namespace gateway::server::test {
+namespace {
+
+std::string post(const std::string& path, const std::string& body = {}) {
+    return "POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + std::to_string(body.size()) +
+           "\r\n\r\n" + body;
+}
+
+struct OperatorTest : GatewayTest {
+    void SetUp() override {
+        GatewayTest::SetUp();
+        extra = R"("mgmt":"127.0.0.1:0",)";
+    }
+    unsigned call(const std::string& text) {
+        Client caller(io, gateway().admin_server()->local_endpoint());
+        caller.say(text);
+        EXPECT_TRUE(run_until(io, [&] { return caller.ended(); }));
+        return caller.answers().empty() ? 0u : caller.answers()[0].result_int();
+    }
+    unsigned health() {
+        Client client(io, address());
+        client.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+        EXPECT_TRUE(answered(client));
+        return client.answers().empty() ? 0u : client.answers()[0].result_int();
+    }
+};
+
+TEST_F(OperatorTest, ABannedHostGetsNothingUntilItIsPutBackWhateverTheListSays) {
+    Server other(io, [](auto& p) { p.ok("other"); });
+    endpoint_list =
+        complete_list(1, endpoint_entry("h", host.address()) + "," + endpoint_entry("g", other.address()));
+    ASSERT_TRUE(up());
+    EXPECT_EQ(call(post("/maintenance/enter", "nobody")), 404u);
+    EXPECT_EQ(call(post("/maintenance/enter", "h")), 200u);
+    EXPECT_EQ(call(post("/maintenance/enter", "h")), 200u);
+    endpoint_list =
+        complete_list(2, endpoint_entry("h", host.address()) + "," + endpoint_entry("g", other.address()));
+    const std::size_t asked = discovery.requests.size();
+    for (const auto& peer : discovery.peers) peer->close();
+    ASSERT_TRUE(run_until(io, [&] { return discovery.requests.size() >= asked + 2; }));
+    Client client(io, address());
+    for (std::size_t i = 1; i <= 20; ++i) {
+        client.say(request("a" + std::to_string(i)));
+        ASSERT_TRUE(answered(client, i));
+        EXPECT_EQ(client.answers().back().body(), "other");
+    }
+    EXPECT_EQ(host.requests.size(), 0u);
+    EXPECT_EQ(call(post("/maintenance/exit", "h")), 200u);
+    EXPECT_EQ(call(post("/maintenance/exit", "h")), 200u);
+    for (std::size_t i = 21; host.requests.empty() && i < 2000; ++i) {
+        client.say(request("a" + std::to_string(i)));
+        ASSERT_TRUE(answered(client, i));
+    }
+    EXPECT_GT(host.requests.size(), 0u);
+}
+
+TEST_F(OperatorTest, OnStandbyItAnswersAllAndKeepsNoConnectionUntilActive) {
+    ASSERT_TRUE(up());
+    EXPECT_EQ(call("GET /status HTTP/1.1\r\nHost: x\r\n\r\n"), 200u);
+    Client idle(io, address()), checker(io, address());
+    idle.say(request("a"));
+    checker.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+    ASSERT_TRUE(answered(idle) && answered(checker));
+    EXPECT_EQ(call(post("/standby")), 200u);
+    EXPECT_TRUE(run_until(io, [&] { return idle.ended() && checker.ended(); }));
+    EXPECT_EQ(health(), 503u);
+    EXPECT_EQ(call("GET /status HTTP/1.1\r\nHost: x\r\n\r\n"), 200u);
+    Client late(io, address());
+    late.say(request("b"));
+    EXPECT_TRUE(run_until(io, [&] { return late.ended(); }));
+    ASSERT_EQ(late.answers().size(), 1u);
+    EXPECT_EQ(late.answers()[0].result_int(), 200u);
+    EXPECT_FALSE(late.answers()[0].keep_alive());
+    EXPECT_EQ(call(post("/active")), 200u);
+    EXPECT_EQ(health(), 200u);
+    Client again(io, address());
+    again.say(request("c"));
+    ASSERT_TRUE(answered(again));
+    EXPECT_TRUE(again.answers()[0].keep_alive());
+}
+
+}  // namespace
+}  // namespace gateway::server::test
--- /dev/null
+++ b/tests/server/streamed_response_test.cpp
@@ -0,0 +1,119 @@
+// Responses that are streamed to the client.
+#include "gateway_fixture.h"
+
+namespace gateway::server::test {
+namespace {
+
+// ---- long answers ----
+
+struct StreamedResponseTest : GatewayTest {
+    static std::string bytes(std::size_t size) {
+        std::string text(size, 'x');
+        for (std::size_t i = 0; i < size; i += 97) text[i] = static_cast<char>('a' + i % 26);
+        return text;
+    }
+    // Writes as the gateway takes it, which on one loop with it a blocking write could not.
+    static void say_all(Server::Peer& p, std::shared_ptr<std::string> text, bool then_close = false) {
+        asio::async_write(p.socket, asio::buffer(*text),
+                          [text, peer = p.shared_from_this(), then_close](error_code, std::size_t) {
+                              if (then_close) peer->close();
+                          });
+    }
+};
+
+TEST_F(StreamedResponseTest, GoesToTheClientUnchangedInEveryCoding) {
+    const std::string body = bytes(3000000);
+    std::string chunked;
+    for (std::size_t at = 0; at < body.size(); at += 70001)
+        chunked += as_chunk(std::string_view(body).substr(at, 70001));
+    const auto told =
+        std::make_shared<std::string>("HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n" + body);
+    const auto coded = std::make_shared<std::string>("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+                                                     chunked + "0\r\nX-Sum: 1\r\n\r\n");
+    const auto open = std::make_shared<std::string>("HTTP/1.1 200 OK\r\n\r\n" + body);
+    ASSERT_TRUE(up());
+    Client client(io, address());
+    std::size_t n = 0;
+    for (const auto& text : {told, coded, open, told}) {
+        on_request = [&](auto& p) { say_all(p, text, text == open); };
+        client.say(request("a" + std::to_string(n)));
+        ASSERT_TRUE(run_until(
+            io, [&] { return client.heard().size() > body.size() * (n + 1) && answered(client, n + 1); }));
+        EXPECT_EQ(client.answers()[n].result_int(), 200u);
+        EXPECT_TRUE(client.answers()[n].body() == body);
+        ++n;
+    }
+    EXPECT_FALSE(client.ended());
+}
+
+TEST_F(StreamedResponseTest, WaitsForAClientThatTakesItsTime) {
+    ASSERT_TRUE(up());
+    const std::string body = bytes(30000000);
+    const auto text =
+        std::make_shared<std::string>("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" + body);
+    std::size_t written = 0;
+    on_request = [&](auto& p) {
+        asio::async_write(
+            p.socket, asio::buffer(*text),
+            [&written, text](error_code, std::size_t n) -> std::size_t {
+                written = n;
+                return 65536;
+            },
+            [peer = p.shared_from_this()](error_code, std::size_t) {});
+    };
+    tcp::socket slow(io);
+    slow.connect(address());
+    asio::write(slow, asio::buffer(request("a")));
+    const auto until = std::chrono::steady_clock::now() + 500ms;
+    EXPECT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() > until; }));
+    // What the kernel's buffers hold, and little more here.
+    EXPECT_LT(written, 20000000u);
+    std::size_t heard = 0;
+    std::vector<char> chunk(65536);
+    std::function<void()> read = [&] {
+        slow.async_read_some(asio::buffer(chunk), [&](error_code ec, std::size_t n) {
+            heard += n;
+            if (!ec) read();
+        });
+    };
+    read();
+    EXPECT_TRUE(run_until(io, [&] { return heard > body.size(); }));
+    slow.close();
+}
+
+TEST_F(StreamedResponseTest, OneThatBreaksOffShowsAndTheGatewayGoesOn) {
+    ASSERT_TRUE(up());
+    on_request = [](auto& p) {
+        p.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + as_chunk(std::string(100000, 'x')));
+        p.close();
+    };
+    Client client(io, address());
+    client.say(request("a"));
+    ASSERT_TRUE(run_until(io, [&] { return client.ended(); }));
+    EXPECT_TRUE(client.answers().empty());
+    on_request = [](auto& p) { p.ok("served"); };
+    Client other(io, address());
+    other.say(request("b"));
+    ASSERT_TRUE(answered(other));
+    EXPECT_EQ(other.answers()[0].body(), "served");
+}
+
+TEST_F(StreamedResponseTest, AClientThatLeavesEndsTheAttempt) {
+    ASSERT_TRUE(up());
+    const auto text = std::make_shared<std::string>("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" +
+                                                    std::string(30000000, 'x'));
+    bool ended = false;
+    on_request = [&](auto& p) {
+        asio::async_write(
+            p.socket, asio::buffer(*text),
+            [&, peer = p.shared_from_this()](error_code ec, std::size_t) { ended = ec.failed(); });
+    };
+    Client client(io, address());
+    client.say(request("a"));
+    ASSERT_TRUE(run_until(io, [&] { return client.heard().size() > 100000; }));
+    client.close();
+    EXPECT_TRUE(run_until(io, [&] { return ended; }));
+}
+
+}  // namespace
+}  // namespace gateway::server::test
