--- a/bench/scale/discovery_stub.cpp
+++ b/bench/scale/discovery_stub.cpp
@@ -44,7 +44,7 @@
     });
 }
 
-void DiscoveryStub::read(std::shared_ptr<Session> session) {
+void DiscoveryStub::read(const std::shared_ptr<Session>& session) {
     session->request = {};
     http::async_read(session->socket, session->buffer, session->request,
                      [this, session](error_code error, std::size_t) {
--- a/bench/scale/discovery_stub.h
+++ b/bench/scale/discovery_stub.h
@@ -38,7 +38,7 @@
     };
 
     void accept();
-    void read(std::shared_ptr<Session> session);
+    void read(const std::shared_ptr<Session>& session);
     void handle_request(const std::shared_ptr<Session>& session);
     void respond(const std::shared_ptr<Session>& session, std::string body);
     [[nodiscard]] std::string make_complete_list() const;
--- a/bench/scale/gateway_process.cpp
+++ b/bench/scale/gateway_process.cpp
@@ -1,12 +1,12 @@
 #include "gateway_process.h"
 
-#include <signal.h>
 #include <spawn.h>
-#include <stdlib.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <cstdio>
+#include <cstdlib>
 #include <fstream>
 #include <sstream>
 #include <stdexcept>
--- a/bench/scale/host_sweep.cpp
+++ b/bench/scale/host_sweep.cpp
@@ -155,6 +155,7 @@
 // A cost over the repeats of a point, multiplied to the unit that is printed.
 Summary summarize_cost(const std::vector<HostCosts>& repeats, double HostCosts::*cost, double factor = 1) {
     std::vector<double> values;
+    values.reserve(repeats.size());
     for (const HostCosts& costs : repeats) values.push_back(costs.*cost * factor);
     return summarize(values);
 }
@@ -181,6 +182,7 @@
     std::vector<Point> memory_points;
     for (const int hosts : sweep.hosts) {
         std::vector<HostCosts> repeats;
+        repeats.reserve(static_cast<std::size_t>(sweep.repeats));
         for (int repeat = 0; repeat < sweep.repeats; ++repeat)
             repeats.push_back(measure(sweep, hosts, sweep.seed + static_cast<std::uint64_t>(repeat)));
         print(make_row(sweep, hosts, repeats), sweep.seed);
--- a/bench/scale/measure.cpp
+++ b/bench/scale/measure.cpp
@@ -1,10 +1,10 @@
 #include "measure.h"
 
 #include <malloc.h>
-#include <time.h>
 
 #include <algorithm>
 #include <cmath>
+#include <ctime>
 
 namespace gateway::scale {
 
@@ -31,7 +31,7 @@
     return values[static_cast<std::size_t>(std::ceil(share * last))];
 }
 
-Summary summarize(std::vector<double> values) {
+Summary summarize(const std::vector<double>& values) {
     return {quantile(values, 0), quantile(values, 0.5), quantile(values, 1)};
 }
 
--- a/bench/scale/measure.h
+++ b/bench/scale/measure.h
@@ -21,7 +21,7 @@
     double maximum = 0;
 };
 // Of at least one value.
-[[nodiscard]] Summary summarize(std::vector<double> values);
+[[nodiscard]] Summary summarize(const std::vector<double>& values);
 // The value that `share` of the values do not exceed; of at least one value.
 [[nodiscard]] double quantile(std::vector<double> values, double share);
 
--- a/src/decision/snapshot_codec.h
+++ b/src/decision/snapshot_codec.h
@@ -67,6 +67,7 @@
             else return row;
         };
         std::vector<decltype(&*table.begin())> rows;
+        rows.reserve(table.size());
         for (auto& row : table) rows.push_back(&row);
         std::sort(rows.begin(), rows.end(),
                   [&](auto* left, auto* right) { return key_of(*left) < key_of(*right); });
--- a/src/server/admin_server.cpp
+++ b/src/server/admin_server.cpp
@@ -37,14 +37,14 @@
                                        {"/active", http::verb::post, AdminCall::Kind::leave_standby}}};
 
 const Route* find_route(std::string_view target) {
-    const auto found = std::find_if(routes.begin(), routes.end(),
-                                    [&](const Route& route) { return route.target == target; });
-    return found == routes.end() ? nullptr : &*found;
+    const auto* const found = std::find_if(routes.begin(), routes.end(),
+                                           [&](const Route& route) { return route.target == target; });
+    return found == routes.end() ? nullptr : found;
 }
 
 std::string trimmed(std::string_view text) {
     const auto first = text.find_first_not_of(" \t\r\n");
-    if (first == text.npos) return {};
+    if (first == std::string_view::npos) return {};
     return std::string(text.substr(first, text.find_last_not_of(" \t\r\n") - first + 1));
 }
 }  // namespace
--- a/src/server/client_connection.cpp
+++ b/src/server/client_connection.cpp
@@ -114,7 +114,7 @@
     state_ = State::closed;
     owner_.on_closed(ClientCloseReason::handed_over, number_, 0);
     const auto self = shared_from_this();
-    connections_.remove(*this);
+    ClientConnectionSet::remove(*this);
     place_.give_back();
     owner_.on_handed_over(std::move(socket), reader_.copy_of_buffered(), first_request_);
 }
@@ -184,7 +184,7 @@
     owner_.on_closed(reason, number_, request_);
     if (const std::uint64_t request = std::exchange(request_, 0)) owner_.on_request_abandoned(request);
     const auto self = shared_from_this();
-    connections_.remove(*this);
+    ClientConnectionSet::remove(*this);
     reader_.give_back_room();
     place_.give_back();
 }
--- a/src/server/client_connection_set.h
+++ b/src/server/client_connection_set.h
@@ -33,7 +33,7 @@
     void move_to_newcomers(ClientConnection& connection);
     // It lingers: it is evicted before all others.
     void move_to_front(ClientConnection& connection);
-    void remove(ClientConnection& connection);
+    static void remove(ClientConnection& connection);
 
     // A copy, because handling a newcomer's input moves it.
     [[nodiscard]] Connections newcomers() const { return newcomers_; }
@@ -56,7 +56,7 @@
     void close_all(ClientCloseReason reason);
 
   private:
-    void add(Connections& list, const std::shared_ptr<ClientConnection>& connection);
+    static void add(Connections& list, const std::shared_ptr<ClientConnection>& connection);
     static void move(ClientConnection& connection, Connections& list, Connections::iterator before);
     bool evict_one_newcomer(Steady::duration silent_for);
     static void handle_timeouts(Connections& list);
--- a/src/server/client_listener.cpp
+++ b/src/server/client_listener.cpp
@@ -42,7 +42,7 @@
     } else {
         acceptor_.open(address.protocol());
         acceptor_.set_option(tcp::acceptor::reuse_address(true));  // a restart binds at once
-        acceptor_.set_option(reuse_port(true));  // even while the former process still listens
+        acceptor_.set_option(ReusePort(true));  // even while the former process still listens
         acceptor_.bind(address);
         acceptor_.listen(asio::socket_base::max_listen_connections);
     }
--- a/src/server/client_server.cpp
+++ b/src/server/client_server.cpp
@@ -89,7 +89,7 @@
 }
 
 ClientServer::ConnectionPointer ClientServer::take_in_flight(std::uint64_t id) {
-    const auto connection = find_in_flight(id);
+    auto connection = find_in_flight(id);
     requests_in_flight_.erase(id);
     return connection;
 }
@@ -139,9 +139,9 @@
     connections_.close_idle();
 }
 
-void ClientServer::stand_by(bool on) {
-    standby_ = on;
-    if (on) connections_.close_idle();
+void ClientServer::stand_by(bool enabled) {
+    standby_ = enabled;
+    if (enabled) connections_.close_idle();
 }
 
 void ClientServer::hand_over(Pass pass) {
--- a/src/server/client_server.h
+++ b/src/server/client_server.h
@@ -73,7 +73,7 @@
     // connections are closed.
     void drain();
     // Does the same for as long as the process is on standby.
-    void stand_by(bool on);
+    void stand_by(bool enabled);
     [[nodiscard]] bool standing_by() const { return standby_; }
 
     // A duplicate of the listening socket, for another process.
--- a/src/server/http.h
+++ b/src/server/http.h
@@ -44,13 +44,13 @@
       public:
         template <bool is_request, class Fields>
         reader(http::header<is_request, Fields>&, value_type& body) : body_(body) {}
-        void init(const boost::optional<std::uint64_t>&, boost::system::error_code& ec) { ec = {}; }
+        static void init(const boost::optional<std::uint64_t>&, boost::system::error_code& ec) { ec = {}; }
         template <class Buffers>
         std::size_t put(const Buffers& buffers, boost::system::error_code& ec) {
             ec = {};
             return append_buffers(buffers, body_);
         }
-        void finish(boost::system::error_code& ec) { ec = {}; }
+        static void finish(boost::system::error_code& ec) { ec = {}; }
 
       private:
         value_type& body_;
--- a/src/server/peer_link.cpp
+++ b/src/server/peer_link.cpp
@@ -11,7 +11,7 @@
 int bind_socket(const PeerLink::Endpoint& listen) {
     boost::asio::io_context io;
     boost::asio::ip::udp::socket socket(io, listen.protocol());
-    socket.set_option(reuse_port(true));
+    socket.set_option(ReusePort(true));
     socket.bind(listen);
     return socket.release();
 }
--- a/src/server/shared_address.h
+++ b/src/server/shared_address.h
@@ -7,5 +7,5 @@
 
 namespace gateway::server {
 // For `set_option` of Asio's sockets, which offer no such option themselves.
-using reuse_port = boost::asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
+using ReusePort = boost::asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 }  // namespace gateway::server
