--- a/tests/decision/concurrency_test.cpp
+++ b/tests/decision/concurrency_test.cpp
@@ -31,7 +31,7 @@
 
 // Found on page8618: attempts out when their client left or their request was given up held their place for
 // good, until the cap turned the customer away altogether.
-TEST(ConcurrencyLimit, AnAttemptThatOutlivesItsRequestHoldsItsPlaceUntilItEnds) {
+TEST(ConcurrencyLimit, AnAttemptThatOutlivesItsRequestCountsUntilItEnds) {
     Settings settings = single_gateway_settings();
     settings.plans[0].max_concurrency = 1;
     settings.may_hedge = settings.may_cancel = false;  // one attempt, which nothing ends but its host
@@ -98,7 +98,7 @@
     EXPECT_LE(sent, 3u);
 }
 
-TEST(ConcurrencyLimit, WhatFindsNoPlaceInTimeIsRejected) {
+TEST(ConcurrencyLimit, ARequestThatFindsNoSlotInTimeIsRejected) {
     ClockedGateway gateway = gateway_with_two_slots();
     for (RequestId id = 1; id <= 2; ++id) EXPECT_EQ(actions_of<SendAttempt>(gateway.request(id)).size(), 1u);
     gateway.request(3);
--- a/tests/decision/handover_test.cpp
+++ b/tests/decision/handover_test.cpp
@@ -7,12 +7,14 @@
 TEST(Handover, TheNextProcessReadsTimesByItsOwnClock) {
     for (const Micros step : {Micros(1h), Micros(-1h)}) {
         ClockedGateway former(single_gateway_settings()), next(single_gateway_settings());
-        former.now += 5h, next.now += 5h + step;
+        former.now += 5h;
+        next.now += 5h + step;
         former.handle(HostsChanged{true, {host("a"), host("b")}});
         next.handle(HostsChanged{true, {host("a"), host("b")}});
         RequestId id = 1;
         for (; id <= 10; ++id) former.request(id);  // more than the burst: the store is empty
-        next.now += 1s, former.now += 1s;
+        next.now += 1s;
+        former.now += 1s;
         const auto left = actions_of<SaveSnapshot>(former.handle(HandedOver{true}));
         ASSERT_EQ(left.size(), 1u);
         next.handle(RestoreSnapshot{left[0].bytes});
@@ -60,7 +62,7 @@
     EXPECT_EQ(actions_of<SendAttempt>(former.request(103)).size(), 1u);
 }
 
-TEST(Handover, AStateThatCantBeReadIsAStartFromNothing) {
+TEST(Handover, ASnapshotThatCannotBeReadIsIgnored) {
     ClockedGateway former(single_gateway_settings());
     former.request(1);
     const std::string state = actions_of<SaveSnapshot>(former.handle(HandedOver{true})).at(0).bytes;
--- a/tests/decision/host_list_test.cpp
+++ b/tests/decision/host_list_test.cpp
@@ -16,12 +16,13 @@
 class Digest {
   public:
     void add(const std::string& text) {
-        for (const char c : text) value_ = (value_ ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
+        for (const char character : text)
+            value_ = (value_ ^ static_cast<unsigned char>(character)) * 1099511628211ULL;
     }
     void add(const Action& action) {
         add(std::to_string(action.index()));
         if (const auto* sent = std::get_if<SendAttempt>(&action)) add(std::to_string(sent->id) + sent->host);
-        if (const auto* refused = std::get_if<RejectRequest>(&action)) add(std::to_string(refused->id));
+        if (const auto* rejected = std::get_if<RejectRequest>(&action)) add(std::to_string(rejected->id));
         if (const auto* cancelled = std::get_if<CancelAttempt>(&action)) add(std::to_string(cancelled->id));
     }
     std::uint64_t value() const { return value_; }
@@ -39,18 +40,20 @@
         handle(list);
     }
     static Settings settings() {
-        Settings s;
-        s.instances = 5;
-        s.zone = "a";
-        s.classes = {{"read", Idempotency::idempotent, DeduplicationScope::all, 250ms, 600ms, 0us, 1, 0}};
-        s.max_attempts = 3;
-        s.may_hedge = s.may_cancel = true;
-        s.tick = 2ms;
-        s.slow_start_time = 3s;
-        s.overload_time = 1s;
-        s.overload_multiple = 2.5;
-        s.slow_start_capacity = 0.2;
-        return s;
+        Settings settings;
+        settings.instances = 5;
+        settings.zone = "a";
+        settings.classes = {
+            {"read", Idempotency::idempotent, DeduplicationScope::all, 250ms, 600ms, 0us, 1, 0}};
+        settings.max_attempts = 3;
+        settings.may_hedge = true;
+        settings.may_cancel = true;
+        settings.tick = 2ms;
+        settings.slow_start_time = 3s;
+        settings.overload_time = 1s;
+        settings.overload_multiple = 2.5;
+        settings.slow_start_capacity = 0.2;
+        return settings;
     }
     void step() {
         now_ += Micros(500 + random_() % 4000);
@@ -80,13 +83,13 @@
                 started};
     }
     void arrive() {
-        RequestArrived r;
-        r.id = next_++;
-        r.customer = "c";
-        r.plan = -1;
-        r.time_left = 600ms;
-        r.units = 1 + static_cast<double>(random_() % 3);
-        handle(r);
+        RequestArrived arrival;
+        arrival.id = next_++;
+        arrival.customer = "c";
+        arrival.plan = -1;
+        arrival.time_left = 600ms;
+        arrival.units = 1 + static_cast<double>(random_() % 3);
+        handle(arrival);
     }
     void change() {
         const auto host = random_() % hosts;
@@ -153,9 +156,9 @@
 };
 struct CountingByPlace {
     std::uint64_t* comparisons;
-    bool operator()(const ListedHost* a, const ListedHost* b) const {
+    bool operator()(const ListedHost* left, const ListedHost* right) const {
         ++*comparisons;
-        return ByPlace{}(a, b);
+        return ByPlace{}(left, right);
     }
 };
 
--- a/tests/decision/host_selection_test.cpp
+++ b/tests/decision/host_selection_test.cpp
@@ -4,7 +4,7 @@
 namespace gateway::decision::test {
 
 // Found in i8ecd6f: a queue served in order let every request leave at its last moment.
-TEST(WaitingRequests, TheNewestLeavesFirst) {
+TEST(WaitingRequests, TheNewestIsSentFirst) {
     Settings settings = single_gateway_settings();
     settings.plans[0].rate = settings.plans[0].burst = 0;
     ClockedGateway gateway(
@@ -33,7 +33,7 @@
 
 // Found on throttle days: a host that turned one plan away as full was left alone for all, and the plan came
 // back to it.
-TEST(Health, AHostThatTurnsOnePlanAwayLosesOnlyThatPlan) {
+TEST(Health, AHostThatRejectsOnePlanLosesOnlyThatPlan) {
     Settings settings = single_gateway_settings();
     settings.plans = {{"p", 0, 0, 0, 1, 0, 1, 0, 0}, {"q", 0, 0, 0, 1, 0, 1, 0, 0}};
     ClockedGateway gateway(settings, {host("a"), host("b"), host("c")});
@@ -59,7 +59,7 @@
 // Found in i77ecda: each of hundreds of gateways held connections to every host.
 // Kept connections end under requests now and then; only what goes on without an answer in between tells of a
 // host that is down.
-TEST(Health, OneResetDoesNotPutAHostOut) {
+TEST(Health, OneResetDoesNotEjectAHost) {
     for (const int resets : {1, 3}) {
         ClockedGateway gateway(single_gateway_settings(), {host("a")});
         for (int i = 0; i < resets; ++i) {
@@ -72,7 +72,7 @@
 }
 
 // A garbled report says nothing; taken for idleness it would draw requests to a host that may be full.
-TEST(Health, AProbeWithNoReadableReportDoesNotPassForIdle) {
+TEST(Health, AHealthCheckWithoutAReadableReportDoesNotCountAsIdle) {
     Settings settings = single_gateway_settings();
     settings.may_check_health = true;
     settings.reports = LoadReports::on_probe;
--- a/tests/decision/invalid_input_test.cpp
+++ b/tests/decision/invalid_input_test.cpp
@@ -3,7 +3,7 @@
 
 namespace gateway::decision::test {
 
-TEST(Settings, BadOnesGetAPlainMessage) {
+TEST(Settings, InvalidSettingsAreRejected) {
     Settings settings = single_gateway_settings();
     settings.rank = 3;
     EXPECT_THROW(Gateway(settings, 1, 0us), std::invalid_argument);
@@ -12,7 +12,7 @@
     EXPECT_THROW(Gateway(settings, 1, 0us), std::invalid_argument);
 }
 
-TEST(Events, UnknownOnesChangeNothing) {
+TEST(Events, UnknownEventsChangeNothing) {
     ClockedGateway gateway(single_gateway_settings());
     EXPECT_TRUE(gateway.handle(ClientDisconnected{99}).empty());
     EXPECT_TRUE(gateway.end_attempt(99, "nowhere", Outcome::timeout, 1s).empty());
@@ -22,7 +22,7 @@
     EXPECT_TRUE(gateway.handle(HealthCheckEnded{}).empty());
 }
 
-TEST(Events, LateAndRepeatedOnesChangeNothing) {
+TEST(Events, LateAndRepeatedEventsChangeNothing) {
     ClockedGateway gateway(single_gateway_settings());
     const auto sent = actions_of<SendAttempt>(gateway.request(1));
     ASSERT_EQ(sent.size(), 1u);
@@ -37,7 +37,7 @@
                 actions_of<RejectRequest>(gateway.actions).size() == 1);  // no time left: answered at once
 }
 
-TEST(Events, BadMessagesAndProbesChangeNothing) {
+TEST(Events, InvalidMessagesAndHealthChecksChangeNothing) {
     Settings settings = settings_of_one_of_two();
     ClockedGateway gateway(settings);
     for (const LeaseRequest& ask :
--- a/tests/decision/lease_test.cpp
+++ b/tests/decision/lease_test.cpp
@@ -29,7 +29,7 @@
     }
 }
 
-TEST(Lease, ADeadOneIsReplacedByItsSuccessor) {
+TEST(Lease, ADeadHomeIsReplacedByItsSuccessor) {
     Settings settings = settings_of_one_of_two();
     settings.plans[0] = {"plan", 10, 20, 0, 1, 0, 1, 0, 0};
     settings.instances = 9;
@@ -61,7 +61,7 @@
 
 // Found on page5745: one lost datagram with two asks made a home that was heard all along count as silent,
 // and its successor gave the quota a second time.
-TEST(Lease, OneThatIsHeardIsNotReplacedForLostAsks) {
+TEST(Lease, AHomeThatIsHeardIsNotReplacedForLostRequests) {
     Settings settings = settings_of_one_of_two();
     settings.instances = 3;
     const std::uint32_t at = name_hash("c") % 3;
@@ -84,7 +84,7 @@
 }
 
 // A gateway that stood still finds its answer behind its own overdue timer: it must not blame the home.
-TEST(Lease, AnOwnStallDoesNotMakeItSilent) {
+TEST(Lease, AStallOfTheGatewayItselfDoesNotMakeTheHomeSilent) {
     Settings settings = settings_of_one_of_two();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);  // the other one is the home
     ClockedGateway gateway(settings);
@@ -102,7 +102,7 @@
 }
 
 // Found on page5745: requests whose ask was lost stood until their client was about to give up.
-TEST(Lease, ARequestThatWaitsForAPartIsRejectedOnceItIsTooLateToLeave) {
+TEST(Lease, ARequestThatWaitsForALeaseIsRejectedOnceItIsTooLateToSendIt) {
     Settings settings = settings_of_one_of_two();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);  // the other one is the home, and silent
     settings.classes[0].latency_objective = 250ms;
@@ -112,22 +112,22 @@
     EXPECT_EQ(actions_of<RejectRequest>(gateway.advance(11ms)).size(), 1u);
 }
 
-TEST(Lease, ARepeatedPartCountsOnce) {
+TEST(Lease, ARepeatedGrantCountsOnce) {
     Settings settings = settings_of_one_of_two();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     ClockedGateway gateway(settings);
     const auto asked = actions_of<SendMessage>(gateway.request(1, 1, 5s, 0, 0, "c", 2));
     ASSERT_EQ(asked.size(), 1u);
-    const std::string part =
+    const std::string grant =
         pack({LeaseGrant{std::get<LeaseRequest>(unpack(asked[0].bytes)->at(0)).nonce, 1, 0, 0, 1}});
-    EXPECT_EQ(actions_of<SendAttempt>(gateway.handle(MessageArrived{asked[0].to, part})).size(), 1u);
-    EXPECT_TRUE(gateway.handle(MessageArrived{asked[0].to, part}).empty());
+    EXPECT_EQ(actions_of<SendAttempt>(gateway.handle(MessageArrived{asked[0].to, grant})).size(), 1u);
+    EXPECT_TRUE(gateway.handle(MessageArrived{asked[0].to, grant}).empty());
     EXPECT_TRUE(actions_of<SendAttempt>(gateway.request(2, 1, 5s, 0, 0, "c", 2))
                     .empty());  // nothing is left here: it asks again
 }
 
 // Found on page5745: a third of the parts given came after their ask counted as lost, and went nowhere.
-TEST(Lease, APartThatComesAfterItsAskCountedAsLostIsUsed) {
+TEST(Lease, AGrantThatComesAfterItsRequestCountedAsLostIsUsed) {
     Settings settings = settings_of_one_of_two();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     ClockedGateway gateway(settings);
@@ -152,7 +152,7 @@
 
 // Found on page5745: all gateways that were turned away came again for the same units, and half of the asks
 // were in vain.
-TEST(Lease, TellsEachItTurnsAwayATurnOfItsOwn) {
+TEST(Lease, TheHomeTellsEachRejectedGatewayATurnOfItsOwn) {
     Settings settings = settings_of_one_of_two();
     settings.instances = 3;
     settings.rank = static_cast<int>(name_hash("c") % 3);
@@ -174,7 +174,7 @@
 }
 
 // Found on page5397: half of the requests waited 8 ms or more for an ask of their own before they were sent.
-TEST(Lease, IsAskedAheadSoThatTheNextRequestNeedNotWait) {
+TEST(Lease, TheHomeIsAskedAheadSoThatTheNextRequestNeedNotWait) {
     Settings settings = settings_of_one_of_two();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     ClockedGateway gateway(settings);
@@ -186,7 +186,7 @@
     const LeaseRequest ahead = std::get<LeaseRequest>(unpack(asked[0].bytes)->at(0));
     EXPECT_EQ(ahead.need, 0);
     EXPECT_GE(ahead.extra, 1);
-    // One that comes before the part leaves with it, the next has its units here.
+    // One that comes before the grant leaves with it, the next has its units here.
     EXPECT_TRUE(actions_of<SendAttempt>(gateway.request(2, 1, 2s, 0, 0, "c", 2)).empty());
     EXPECT_EQ(actions_of<SendAttempt>(grant_lease(gateway, asked[0], 2)).size(), 1u);
     EXPECT_EQ(actions_of<SendAttempt>(gateway.request(3, 1, 2s, 0, 0, "c", 2)).size(), 1u);
@@ -233,10 +233,10 @@
     EXPECT_EQ(unpack(urgent[0].bytes)->size(), 2u);
 }
 
-// A request does not wait for a part asked ahead: its own ask goes out, and the line moves with either.
+// A request does not wait for a grant asked ahead: its own ask goes out, and the line moves with either.
 // Found on join+vast: a home that many ask paced its grants by how full its own intake was, and those who
 // asked took its silence for its end.
-TEST(Lease, ABusyOneAnswersEachOfThoseThatAskInTheirTurn) {
+TEST(Lease, ABusyHomeAnswersEachGatewayInItsTurn) {
     Settings settings = settings_of_one_of_two();
     settings.instances = 100;
     settings.plans[0].rate = settings.plans[0].burst = 1000;
--- a/tests/decision/quota_test.cpp
+++ b/tests/decision/quota_test.cpp
@@ -29,7 +29,8 @@
 
 TEST(Ceiling, AFreshInstanceHasNothingOfABurstItMayHaveSpentBefore) {
     Settings settings = single_gateway_settings();
-    settings.plans[0].ceiling_rate = 4, settings.plans[0].ceiling_burst = 8;
+    settings.plans[0].ceiling_rate = 4;
+    settings.plans[0].ceiling_burst = 8;
     ClockedGateway gateway(settings);
     EXPECT_EQ(actions_of<RejectRequest>(gateway.request(1)).size(), 1u);
     gateway.advance(251ms);
@@ -38,14 +39,16 @@
 
 // The sum over gateways against the ceiling's reference store: messages lost, repeated, reordered and late,
 // gateways restarted at any point.
-TEST(Ceiling, GatewaysNeverPassItTogether) {
+TEST(Ceiling, GatewaysNeverExceedItTogether) {
     for (const int count : {2, 12, 300}) {
         for (std::uint64_t seed = 1; seed <= (count > 100 ? 2 : 12); ++seed) {
             Settings settings = settings_of_one_of_two();
-            settings.plans[0].rate = 50, settings.plans[0].burst = 60;  // the ceiling alone binds
+            settings.plans[0].rate = 50;
+            settings.plans[0].burst = 60;  // the ceiling alone binds
             const int set = std::min(count, 8);
             const double burst = 6.0 * set, rate = 3.0 * set;
-            settings.plans[0].ceiling_rate = rate, settings.plans[0].ceiling_burst = burst;
+            settings.plans[0].ceiling_rate = rate;
+            settings.plans[0].ceiling_burst = burst;
             Fleet fleet(settings, count, seed);
             std::map<RequestId, double> units;
             double store = burst, lowest = burst;
--- a/tests/decision/retry_test.cpp
+++ b/tests/decision/retry_test.cpp
@@ -105,7 +105,7 @@
 
 // Found by the soak: the timer that decides in time would come behind the deadline itself, on the grid of the
 // tick.
-TEST(Deadline, ARequestWithLessThanTheClocksGridLeftIsDecidedAtOnce) {
+TEST(Deadline, ARequestWithLessTimeThanTwoTicksIsDecidedAtOnce) {
     for (const Micros left : {1us, 1000us, 4000us, 8000us}) {
         Settings settings = single_gateway_settings();
         settings.may_check_health = true;  // it would wait for a probe
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -96,7 +96,7 @@
 
 // The wall clock may be stepped: a host that was seen to restart is cold from then on, whatever its stamp
 // says.
-TEST(SlowStart, ARestartStampedLongAgoIsColdAllTheSame) {
+TEST(SlowStart, ARestartStampedLongAgoWarmsUpAllTheSame) {
     TwoHosts shared(single_gateway_settings());
     const int warm = shared.sent(400);
     shared.restart_a(shared.gateway.now - 1h);
@@ -132,7 +132,7 @@
     EXPECT_GT(to_a, 150);
 }
 
-TEST(SlowStart, ARestartStampedInTheFutureIsNotColdForLonger) {
+TEST(SlowStart, ARestartStampedInTheFutureWarmsUpNoLonger) {
     TwoHosts shared(single_gateway_settings());
     const int warm = shared.sent(400);
     shared.restart_a(shared.gateway.now + 1h);
--- a/tests/decision/warm_up_limiter_test.cpp
+++ b/tests/decision/warm_up_limiter_test.cpp
@@ -31,7 +31,7 @@
 
 TEST(WarmUp, HoldsAndReleasesByTimer) {
     Settings settings = single_gateway_settings();
-    settings.plans[0].rate = 20,
+    settings.plans[0].rate = 20;
     settings.plans[0].burst = 40;  // stable 50 ms: the first permit of a full store costs 150 ms or less
     ClockedGateway gateway(settings);
     overload_hosts(gateway);
--- a/tests/server/client_disconnect_test.cpp
+++ b/tests/server/client_disconnect_test.cpp
@@ -6,7 +6,7 @@
 
 TEST_F(GatewayTest, AClientThatLeavesIsNoLoss) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     {
         Client client(io, address());
         client.say(request("a"));
@@ -15,7 +15,7 @@
     }
     ASSERT_TRUE(run_until(io, [&] { return budget->held(SocketBudget::Side::client) == 0; }));
     host.peers[0]->ok("to nobody");
-    on_request = [](auto& p) { p.ok("next"); };
+    on_request = [](auto& peer) { peer.ok("next"); };
     Client client(io, address());
     client.say(request("b"));
     ASSERT_TRUE(answered(client));
@@ -29,7 +29,7 @@
     endpoint_list =
         complete_list(1, endpoint_entry("n", "127.0.0.1:" + std::to_string(late.endpoint().port())));
     may = R"("connectTimeoutUs":14000000,)";
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client client(io, address());
     client.say(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return budget->held(SocketBudget::Side::host) == 1; }));
@@ -42,12 +42,12 @@
     NeverUp late(io);
     deadline_ms = 4000;
     may = R"("connectTimeoutUs":14000000,"mayDuplicate":true,)";
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client client(io, address());
     std::size_t asked = 0;
     for (; asked < 5; ++asked) {
         client.say(request(std::string("r").append(std::to_string(asked))));
-        ASSERT_TRUE(answered(client, asked + 1) && passed(20ms));
+        ASSERT_TRUE(answered(client, asked + 1) && time_passes(20ms));
     }
     on_request = [](auto&) {};
     client.say(request("slow"));
@@ -67,7 +67,7 @@
 TEST_F(GatewayTest, AClientThatLeavesBehindMuchUnreadIsNoticed) {
     may = R"("cancel":true,)";
     on_request = [](auto&) {};
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     for (const std::size_t behind : {5000u, 40000u}) {
         Client client(io, address());
         client.say(request("a") + std::string(behind, 'x'));
@@ -82,11 +82,11 @@
 
 TEST_F(GatewayTest, AClientThatSendsOnBehindItsRequestHasItsAnswerAndAnEnd) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client client(io, address());
     client.say(request("a") + std::string(40000, 'x'));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
-    ASSERT_TRUE(passed(50ms));
+    ASSERT_TRUE(time_passes(50ms));
     host.peers[0]->ok("served");
     ASSERT_TRUE(run_until(io, [&] { return client.ended(); }));
     ASSERT_EQ(client.answers().size(), 1u);
@@ -97,7 +97,7 @@
     try {
         for (int i = 0; i < 40 && !flood.ended(); ++i) {
             flood.say(std::string(16384, 'x'));
-            ASSERT_TRUE(passed(2ms));
+            ASSERT_TRUE(time_passes(2ms));
         }
     } catch (const boost::system::system_error&) {  // closed as it was written to
     }
--- a/tests/server/gateway_fixture.h
+++ b/tests/server/gateway_fixture.h
@@ -34,14 +34,14 @@
     std::optional<SocketBudget> budget;
     std::size_t sockets = 64;
     int deadline_ms = 15000;
-    Server::Handler on_request = [](auto& p) { p.ok("served"); };
-    Server host{io, [this](auto& p) { on_request(p); }};
+    Server::Handler on_request = [](auto& peer) { peer.ok("served"); };
+    Server host{io, [this](auto& peer) { on_request(peer); }};
     std::string endpoint_list;  // what discovery tells; empty: it is silent
-    Server::Handler on_list_call = [this](auto& p) {
-        if (!endpoint_list.empty() && p.request.target().find("from=") == std::string::npos)
-            p.ok(endpoint_list);
+    Server::Handler on_list_call = [this](auto& peer) {
+        if (!endpoint_list.empty() && peer.request.target().find("from=") == std::string::npos)
+            peer.ok(endpoint_list);
     };
-    Server discovery{io, [this](auto& p) { on_list_call(p); }};
+    Server discovery{io, [this](auto& peer) { on_list_call(peer); }};
     std::string plan = R"({"name":"basic","rate":1000,"mostAtOnce":1000,"worthFactor":1})";
     std::string extra;               // further keys of the configuration
     std::string may;                 // further keys of the settings' limits
@@ -70,12 +70,12 @@
         return *made;
     }
     tcp::endpoint address() { return gateway().clients().local_endpoint(); }
-    bool up() {
+    bool starts() {
         gateway();
         return run_until(io, [&] { return gateway().ready(); });
     }
     // For at least so long.
-    bool passed(std::chrono::milliseconds span) {
+    bool time_passes(std::chrono::milliseconds span) {
         const auto until = std::chrono::steady_clock::now() + span;
         return run_until(io, [&] { return std::chrono::steady_clock::now() >= until; });
     }
--- a/tests/server/gateway_test.cpp
+++ b/tests/server/gateway_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TEST_F(GatewayTest, ServesARequestAndKeepsTheConnection) {
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client client(io, address());
     client.say(request("a"));
     ASSERT_TRUE(answered(client));
@@ -13,7 +13,7 @@
     EXPECT_EQ(client.answers()[0].body(), "served");
     EXPECT_EQ(host.targets[0], "/api/x?y=1");
     EXPECT_EQ(host.requests[0]["X-Trace-Id"], "a");
-    ASSERT_TRUE(passed(20ms));  // a host's connection rests after an answer
+    ASSERT_TRUE(time_passes(20ms));  // a host's connection rests after an answer
     client.say(request("b"));
     ASSERT_TRUE(answered(client, 2));
     EXPECT_FALSE(client.ended());
@@ -35,12 +35,12 @@
 
 TEST_F(GatewayTest, ARequestThatExpiresBehindAnotherIsRejectedAtOnce) {
     std::vector<std::shared_ptr<Server::Peer>> holding;
-    on_request = [&](Server::Peer& p) { holding.push_back(p.shared_from_this()); };
-    ASSERT_TRUE(up());
+    on_request = [&](Server::Peer& peer) { holding.push_back(peer.shared_from_this()); };
+    ASSERT_TRUE(starts());
     Client client(io, address());
     client.say(request("a") + request("b", {}, "read", 20ms));
     ASSERT_TRUE(run_until(io, [&] { return holding.size() == 1; }));
-    ASSERT_TRUE(passed(30ms));
+    ASSERT_TRUE(time_passes(30ms));
     holding[0]->ok("served");
     ASSERT_TRUE(answered(client, 2));
     EXPECT_EQ(client.answers()[0].result_int(), 200u);
@@ -49,7 +49,7 @@
 }
 
 TEST_F(GatewayTest, ARequestThatExpiresDuringThePauseAfterABadOneIsRejectedAtOnce) {
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client client(io, address());
     for (std::size_t bad = 1; bad <= 4; ++bad) {  // each makes the pause behind it longer: 160 ms in the end
         client.say("GET /api HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -63,7 +63,7 @@
 
 TEST_F(GatewayTest, MetricsTellWhyRequestsWereRejectedAndConnectionsClosed) {
     plan = R"({"name":"basic","rate":0.001,"mostAtOnce":2,"excessCost":1,"worthFactor":1})";
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client client(io, address());
     for (std::size_t call = 1; call <= 6; ++call) {
         client.say(request(std::string("a").append(std::to_string(call))));
@@ -84,7 +84,7 @@
 
 TEST_F(GatewayTest, BeyondItsQuotaACustomerIsRejectedAtOnceWithAdvice) {
     plan = R"({"name":"basic","rate":0.001,"mostAtOnce":2,"excessCost":1,"worthFactor":1})";
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client client(io, address());
     std::size_t sent = 0;
     do {
@@ -97,10 +97,10 @@
 }
 
 TEST_F(GatewayTest, ABrokenHostIsReplacedByAnotherInARetry) {
-    Server broken(io, [](auto& p) { p.reset(); });
+    Server broken(io, [](auto& peer) { peer.reset(); });
     endpoint_list =
         complete_list(1, endpoint_entry("b", broken.address()) + "," + endpoint_entry("h", host.address()));
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client client(io, address());
     for (std::size_t i = 1; broken.requests.empty() && i < 50; ++i) {
         client.say(request(std::string("r").append(std::to_string(i))));
@@ -112,7 +112,7 @@
 
 TEST_F(GatewayTest, ARequestIsAnsweredByItsDeadlineWhenAHostIsSilent) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client client(io, address());
     std::string text = request("a");
     text.replace(text.find("15000"), 5, "100");
@@ -124,11 +124,11 @@
 }
 
 TEST_F(GatewayTest, ANewConfigurationMovesTheWatchAndTheListGoesOnServing) {
-    ASSERT_TRUE(up());
-    Server other(io, [](auto& p) { p.ok("other"); });
+    ASSERT_TRUE(starts());
+    Server other(io, [](auto& peer) { peer.ok("other"); });
     std::string told;  // the new discovery is silent at first
-    Server next(io, [&](auto& p) {
-        if (!told.empty() && p.request.target().find("from=") == std::string::npos) p.ok(told);
+    Server next(io, [&](auto& peer) {
+        if (!told.empty() && peer.request.target().find("from=") == std::string::npos) peer.ok(told);
     });
     Config moved = config();
     moved.discovery = next.endpoint();
@@ -168,7 +168,7 @@
 
 // Found on day 1: the host saw no body, as nothing told its length.
 TEST_F(GatewayTest, ARequestInChunksReachesTheHostWhole) {
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client client(io, address());
     std::string text = request("a", "Transfer-Encoding: chunked\r\n", "book");
     text.replace(0, 3, "POST");
@@ -179,8 +179,8 @@
 }
 
 TEST_F(GatewayTest, HeadIsAskedAndAnsweredWithoutABody) {
-    ASSERT_TRUE(up());
-    on_request = [](auto& p) { p.say("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"); };
+    ASSERT_TRUE(starts());
+    on_request = [](auto& peer) { peer.say("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"); };
     Client client(io, address());
     std::string text = request("a");
     client.say("HEAD" + text.substr(3));
@@ -192,7 +192,7 @@
 }
 
 TEST_F(GatewayTest, ABodyMayTakeItsTimeAsLongAsItGoesOn) {
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client client(io, address()), stuck(io, address());
     std::string text = request("a", "Content-Length: 32768\r\n", "book");
     text.replace(0, 3, "POST");
--- a/tests/server/invalid_request_test.cpp
+++ b/tests/server/invalid_request_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TEST_F(GatewayTest, BadRequestsAreAnsweredAndHarmNoOther) {
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     const auto status = [&](const std::string& text) {
         Client bad(io, address());
         bad.say(text);
@@ -33,7 +33,7 @@
 // Found by mutated requests: the parser asks for more of a line without an end, in a buffer that is full, and
 // the exception of that one connection ended the process.
 TEST_F(GatewayTest, AnEndlessLineInAChunkedBodyEndsOnlyItsConnection) {
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     const std::string endless(200'000, '1');
     for (const std::string& line :
          {endless, "1;" + endless, "1;a=\"" + endless, "0\r\nX-Trailer: " + endless}) {
@@ -52,7 +52,7 @@
 // What can't be right must reach neither a host nor anyone's quota.
 TEST_F(GatewayTest, RequestsOutsideTheSettingsAreNeverForwarded) {
     plan = R"({"name":"basic","rate":0.001,"mostAtOnce":2,"excessCost":1,"worthFactor":1})";
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     const std::string good = request("a");
     const auto status = [&](const std::string& from, const std::string& to) {
         std::string text = good;
@@ -84,7 +84,7 @@
 
 // Two readers that see different ends of one message let a request through that nobody has checked.
 TEST_F(GatewayTest, AnAmbiguousLengthIsRejectedAndNothingOfItIsForwarded) {
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     std::string hidden = request("hidden"), head = request("a", "", "book");
     head.replace(0, 3, "POST");
     head.resize(head.size() - 2);
@@ -107,7 +107,7 @@
 
 TEST_F(GatewayTest, AnIdThatIsOpenElsewhereIsTurnedAway) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client first(io, address()), second(io, address());
     first.say(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
@@ -115,7 +115,7 @@
     ASSERT_TRUE(answered(second));
     EXPECT_EQ(second.answers()[0].result_int(), 409u);
     EXPECT_TRUE(first.answers().empty());
-    on_request = [](auto& p) { p.ok("again"); };
+    on_request = [](auto& peer) { peer.ok("again"); };
     host.peers[0]->ok("own");
     ASSERT_TRUE(answered(first));
     EXPECT_EQ(first.answers()[0].body(), "own");
--- a/tests/server/known_list_test.cpp
+++ b/tests/server/known_list_test.cpp
@@ -11,10 +11,10 @@
     mode = "subscribe";
     extra = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
     endpoint_list = R"({"rev":9,"all":false,"targets":[]})";
-    on_list_call = [this](Server::Peer& p) {
-        if (p.request.target().find("hold_ms=0") != std::string::npos) p.ok(endpoint_list);
+    on_list_call = [this](Server::Peer& peer) {
+        if (peer.request.target().find("hold_ms=0") != std::string::npos) peer.ok(endpoint_list);
     };
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     ASSERT_TRUE(run_until(io, [&] { return discovery.targets.size() >= 2; }));
     EXPECT_EQ(discovery.targets[0], "/catalog/members?from=7&hold_ms=0");
     EXPECT_EQ(discovery.targets[1].substr(0, 33), "/catalog/members?from=9&hold_ms=1");
@@ -24,13 +24,13 @@
 TEST_F(GatewayTest, AKnownListNewerThanDiscoverysIsAskedForWhole) {
     mode = "subscribe";
     extra = R"("known":)" + complete_list(7, endpoint_entry("gone", "127.0.0.1:1")) + ",";
-    on_list_call = [this](Server::Peer& p) {
-        if (p.request.target() == "/catalog/members")
-            p.ok(complete_list(2, endpoint_entry("h", host.address())));
-        else if (p.request.target().find("hold_ms=0") != std::string::npos)
-            p.ok(R"({"rev":2,"all":false,"targets":[]})");
+    on_list_call = [this](Server::Peer& peer) {
+        if (peer.request.target() == "/catalog/members")
+            peer.ok(complete_list(2, endpoint_entry("h", host.address())));
+        else if (peer.request.target().find("hold_ms=0") != std::string::npos)
+            peer.ok(R"({"rev":2,"all":false,"targets":[]})");
     };
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     ASSERT_TRUE(run_until(io, [&] { return discovery.targets.size() >= 3; }));
     EXPECT_EQ(discovery.targets[1], "/catalog/members");
     EXPECT_EQ(discovery.targets[2].substr(0, 24), "/catalog/members?from=2&");
@@ -46,7 +46,7 @@
     EXPECT_EQ(client.answers()[0].result_int(), 503u);
     endpoint_list = complete_list(2, endpoint_entry("h", host.address()));
     for (const auto& peer : discovery.peers) peer->close();
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     client.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     ASSERT_TRUE(answered(client, 2));
     EXPECT_EQ(client.answers()[1].result_int(), 200u);
@@ -55,7 +55,7 @@
 TEST_F(GatewayTest, StartsFromTheKnownListWhileDiscoveryIsSilent) {
     endpoint_list.clear();
     extra = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client client(io, address());
     client.say(request("a"));
     ASSERT_TRUE(answered(client));
@@ -64,7 +64,7 @@
 
 TEST_F(GatewayTest, NoRequestIsSentByTheKnownListWhileDiscoveryIsAboutToAnswer) {
     std::string next_list = std::exchange(endpoint_list, {});
-    Server left(io, [](auto& p) { p.ok("left"); });
+    Server left(io, [](auto& peer) { peer.ok("left"); });
     extra = R"("known":)" + complete_list(7, endpoint_entry("l", left.address())) + ",";
     gateway();
     Client client(io, address());
--- a/tests/server/operator_test.cpp
+++ b/tests/server/operator_test.cpp
@@ -29,10 +29,10 @@
 };
 
 TEST_F(OperatorTest, ABannedHostGetsNothingUntilItIsPutBackWhateverTheListSays) {
-    Server other(io, [](auto& p) { p.ok("other"); });
+    Server other(io, [](auto& peer) { peer.ok("other"); });
     endpoint_list =
         complete_list(1, endpoint_entry("h", host.address()) + "," + endpoint_entry("g", other.address()));
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     EXPECT_EQ(call(post("/maintenance/enter", "nobody")), 404u);
     EXPECT_EQ(call(post("/maintenance/enter", "h")), 200u);
     EXPECT_EQ(call(post("/maintenance/enter", "h")), 200u);
@@ -58,7 +58,7 @@
 }
 
 TEST_F(OperatorTest, OnStandbyItAnswersAllAndKeepsNoConnectionUntilActive) {
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     EXPECT_EQ(call("GET /status HTTP/1.1\r\nHost: x\r\n\r\n"), 200u);
     Client idle(io, address()), checker(io, address());
     idle.say(request("a"));
--- a/tests/server/resource_limit_test.cpp
+++ b/tests/server/resource_limit_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TEST_F(GatewayTest, SilentAndSlowClientsAreEnded) {
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client known(io, address()), silent(io, address()), half(io, address());
     known.say(request("a"));
     ASSERT_TRUE(answered(known));
@@ -17,7 +17,7 @@
 
 TEST_F(GatewayTest, UnderShortageSilentNewcomersGoBeforeThoseThatAsked) {
     sockets = 60;  // 36 for clients
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     std::vector<Client> asked, silent;
     for (std::size_t i = 0; i < 5; ++i) {
         asked.emplace_back(io, address());
@@ -41,7 +41,7 @@
 // Clients that ask once and keep their connection for good must not hold what others need to open theirs.
 TEST_F(GatewayTest, KeptConnectionsHoldAPartOfTheDescriptorsOnly) {
     sockets = 60;  // ten for kept ones, well under what clients may hold
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     std::vector<Client> once;
     for (std::size_t i = 0; i < 20; ++i) {
         once.emplace_back(io, address());
@@ -76,7 +76,7 @@
 
 TEST_F(GatewayTest, IdleClientsGiveWayWhenSocketsRunOut) {
     sockets = 10;  // six for clients
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     std::vector<Client> idle;
     for (int i = 0; i < 6; ++i) idle.emplace_back(io, address());
     ASSERT_TRUE(run_until(io, [&] { return budget->held(SocketBudget::Side::client) == 6; }));
@@ -90,7 +90,7 @@
 TEST_F(GatewayTest, WithEverySocketBusyANewClientWaitsItsTurn) {
     sockets = 10;
     on_request = [](auto&) {};
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     std::vector<Client> busy;
     for (int i = 0; i < 6; ++i) {
         busy.emplace_back(io, address());
--- a/tests/server/shutdown_test.cpp
+++ b/tests/server/shutdown_test.cpp
@@ -6,7 +6,7 @@
 
 TEST_F(GatewayTest, AShutdownFinishesWhatIsInFlight) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client idle(io, address()), busy(io, address());
     busy.say(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
@@ -71,9 +71,9 @@
     SocketBudget places(40);
     int taken = 0;
     ClientServer server(io, any_port(), places, 1 << 20,
-                        {[&](ClientRequest&& r) {
+                        {[&](ClientRequest&& arrived) {
                              ++taken;
-                             server.answer(r.id, make_answer(http::status::ok, "last"));
+                             server.answer(arrived.id, make_answer(http::status::ok, "last"));
                          },
                          [](auto) {}, [] { return true; }});
     server.open();
@@ -99,7 +99,7 @@
 // SIGKILL comes 3.7 s after SIGTERM at the soonest, however long a request may wait.
 TEST_F(GatewayTest, WhatIsInFlightIsAnsweredBeforeAShutdownIsForced) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client client(io, address());
     client.say(request("a", "", "read"));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
@@ -114,7 +114,7 @@
 
 TEST_F(GatewayTest, AHalfRequestDoesNotDelayAShutdown) {
     deadline_ms = 100;
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client half(io, address());
     half.say("GET / HTTP/1.1\r\n");
     ASSERT_TRUE(run_until(io, [&] { return budget->held(SocketBudget::Side::client) == 1; }));
--- a/tests/server/streamed_response_test.cpp
+++ b/tests/server/streamed_response_test.cpp
@@ -13,9 +13,9 @@
         return text;
     }
     // Writes as the gateway takes it, which on one loop with it a blocking write could not.
-    static void say_all(Server::Peer& p, std::shared_ptr<std::string> text, bool then_close = false) {
-        asio::async_write(p.socket, asio::buffer(*text),
-                          [text, peer = p.shared_from_this(), then_close](error_code, std::size_t) {
+    static void say_all(Server::Peer& peer, std::shared_ptr<std::string> text, bool then_close = false) {
+        asio::async_write(peer.socket, asio::buffer(*text),
+                          [text, peer = peer.shared_from_this(), then_close](error_code, std::size_t) {
                               if (then_close) peer->close();
                           });
     }
@@ -31,11 +31,11 @@
     const auto coded = std::make_shared<std::string>("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                                                      chunked + "0\r\nX-Sum: 1\r\n\r\n");
     const auto open = std::make_shared<std::string>("HTTP/1.1 200 OK\r\n\r\n" + body);
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     Client client(io, address());
     std::size_t n = 0;
     for (const auto& text : {told, coded, open, told}) {
-        on_request = [&](auto& p) { say_all(p, text, text == open); };
+        on_request = [&](auto& peer) { say_all(peer, text, text == open); };
         client.say(request("a" + std::to_string(n)));
         ASSERT_TRUE(run_until(
             io, [&] { return client.heard().size() > body.size() * (n + 1) && answered(client, n + 1); }));
@@ -47,19 +47,19 @@
 }
 
 TEST_F(StreamedResponseTest, WaitsForAClientThatTakesItsTime) {
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     const std::string body = bytes(30000000);
     const auto text =
         std::make_shared<std::string>("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" + body);
     std::size_t written = 0;
-    on_request = [&](auto& p) {
+    on_request = [&](auto& peer) {
         asio::async_write(
-            p.socket, asio::buffer(*text),
+            peer.socket, asio::buffer(*text),
             [&written, text](error_code, std::size_t n) -> std::size_t {
                 written = n;
                 return 65536;
             },
-            [peer = p.shared_from_this()](error_code, std::size_t) {});
+            [peer = peer.shared_from_this()](error_code, std::size_t) {});
     };
     tcp::socket slow(io);
     slow.connect(address());
@@ -82,16 +82,17 @@
 }
 
 TEST_F(StreamedResponseTest, OneThatBreaksOffShowsAndTheGatewayGoesOn) {
-    ASSERT_TRUE(up());
-    on_request = [](auto& p) {
-        p.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + as_chunk(std::string(100000, 'x')));
-        p.close();
+    ASSERT_TRUE(starts());
+    on_request = [](auto& peer) {
+        peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+                 as_chunk(std::string(100000, 'x')));
+        peer.close();
     };
     Client client(io, address());
     client.say(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return client.ended(); }));
     EXPECT_TRUE(client.answers().empty());
-    on_request = [](auto& p) { p.ok("served"); };
+    on_request = [](auto& peer) { peer.ok("served"); };
     Client other(io, address());
     other.say(request("b"));
     ASSERT_TRUE(answered(other));
@@ -99,14 +100,14 @@
 }
 
 TEST_F(StreamedResponseTest, AClientThatLeavesEndsTheAttempt) {
-    ASSERT_TRUE(up());
+    ASSERT_TRUE(starts());
     const auto text = std::make_shared<std::string>("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" +
                                                     std::string(30000000, 'x'));
     bool ended = false;
-    on_request = [&](auto& p) {
+    on_request = [&](auto& peer) {
         asio::async_write(
-            p.socket, asio::buffer(*text),
-            [&, peer = p.shared_from_this()](error_code ec, std::size_t) { ended = ec.failed(); });
+            peer.socket, asio::buffer(*text),
+            [&, peer = peer.shared_from_this()](error_code ec, std::size_t) { ended = ec.failed(); });
     };
     Client client(io, address());
     client.say(request("a"));
