--- a/include/gateway/rule_guard.h
+++ b/include/gateway/rule_guard.h
@@ -19,7 +19,7 @@
   public:
     struct Violations {
         std::array<std::uint64_t, send_verdict_count> sends{};  // that were not allowed, by SendVerdict
-        std::uint64_t refusals = 0;      // rejections of requests that may have been executed
+        std::uint64_t rejections = 0;    // rejections of requests that may have been executed
         std::uint64_t late_answers = 0;  // half a second after the client's deadline, or later
         std::uint64_t unanswered = 0;    // requests in hand whose connection was closed by this side
         // The violations that are faults of this program. A decision may cross the end of its request: a send
@@ -39,10 +39,10 @@
     SendVerdict begin_attempt(RequestId id, int number, const std::string& host, Micros now);
     void attempt_ended(RequestId id, int attempt, Outcome outcome);
     // Whether the request may be rejected; counts a violation where it may not.
-    bool may_refuse(RequestId id);
+    bool may_reject(RequestId id);
     // The request has its final answer.
     void answered(RequestId id, Micros now);
-    void client_left(RequestId id);
+    void client_disconnected(RequestId id);
     // The request's connection is closed by this side before it has an answer.
     void closed_unanswered() { ++violations_.unanswered; }
     // Nothing more is asked about the request.
--- a/src/decision/concurrency_permits.cpp
+++ b/src/decision/concurrency_permits.cpp
@@ -133,8 +133,8 @@
 bool ConcurrencyPermits::accept(Customer& customer, const PermitGrant& grant, int from) {
     PermitState& state = customer.permits;
     if (grant.nonce != state.nonce || from != holder(customer)) return false;
-    state.granted = std::min(grant.held, state.wanted);
-    state.queue_length = grant.in_line;
+    state.granted = std::min(grant.granted, state.wanted);
+    state.queue_length = grant.queue_length;
     state.valid_until = state.requested_at + permit_lifetime;
     return true;
 }
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -60,7 +60,7 @@
     }
     void on_peer(const LeaseRequest& request, int from) {
         if (!is_sound(request)) return;
-        const bool urgent = request.need > 0 || request.hard > 0;
+        const bool urgent = request.required_units > 0 || request.ceiling_units > 0;
         modules_.messenger.post(from, modules_.ledger.grant(request), urgent);
     }
     void on_peer(const LeaseGrant& grant, int from) { flow_.on_lease_grant(from, grant); }
--- a/src/decision/peer_message.cpp
+++ b/src/decision/peer_message.cpp
@@ -25,7 +25,7 @@
 constexpr std::size_t permit_request_bytes = 14;
 constexpr std::size_t permit_grant_bytes = 10;
 constexpr std::size_t longest_record_bytes = 1 + lease_request_bytes;
-static_assert(1 + most_together * longest_record_bytes + checksum_bytes <= max_message_bytes);
+static_assert(1 + max_records_per_message * longest_record_bytes + checksum_bytes <= max_message_bytes);
 
 constexpr double unit_steps = 16;    // units travel in sixteenths
 constexpr double max_steps = 65535;  // that two bytes hold
@@ -57,16 +57,16 @@
     void write(const LeaseRequest& request) {
         put_type(RecordType::lease_request);
         put_customer(request);
-        put_units_rounded_up(request.need);
-        put_units_rounded_up(request.extra);
-        put_units_rounded_up(request.hard);
+        put_units_rounded_up(request.required_units);
+        put_units_rounded_up(request.prefetch_units);
+        put_units_rounded_up(request.ceiling_units);
     }
     void write(const LeaseGrant& grant) {
         put_type(RecordType::lease_grant);
         put(grant.nonce, 4);
         put_units_rounded_down(grant.units);
-        put_units_rounded_down(grant.hard);
-        put(std::min(grant.wait_ms, max_wait_ms), 2);
+        put_units_rounded_down(grant.ceiling_units);
+        put(std::min(grant.retry_after_ms, max_wait_ms), 2);
         put_units_rounded_down(grant.demand);
     }
     void write(const PermitRequest& request) {
@@ -78,8 +78,8 @@
         put_type(RecordType::permit_grant);
         put(grant.nonce, 4);
         put(grant.customer, 4);
-        put_permits(grant.held);
-        put_permits(grant.in_line);
+        put_permits(grant.granted);
+        put_permits(grant.queue_length);
     }
 
   private:
@@ -117,17 +117,17 @@
     LeaseRequest take_lease_request() {
         LeaseRequest request;
         take_customer(request);
-        request.need = take_units();
-        request.extra = take_units();
-        request.hard = take_units();
+        request.required_units = take_units();
+        request.prefetch_units = take_units();
+        request.ceiling_units = take_units();
         return request;
     }
     LeaseGrant take_lease_grant() {
         LeaseGrant grant;
         grant.nonce = take(4);
         grant.units = take_units();
-        grant.hard = take_units();
-        grant.wait_ms = take(2);
+        grant.ceiling_units = take_units();
+        grant.retry_after_ms = take(2);
         grant.demand = take_units();
         return grant;
     }
@@ -141,8 +141,8 @@
         PermitGrant grant;
         grant.nonce = take(4);
         grant.customer = take(4);
-        grant.held = take_int(1);
-        grant.in_line = take_int(1);
+        grant.granted = take_int(1);
+        grant.queue_length = take_int(1);
         return grant;
     }
     // Nothing for a record that is cut short or of an unknown type.
@@ -162,18 +162,18 @@
 
 }  // namespace
 
-std::string pack(const std::vector<PeerMessage>& messages) {
+std::string encode(const std::vector<PeerMessage>& messages) {
     std::string bytes;
     RecordWriter writer(bytes);
     writer.put(message_format, 1);
-    const std::size_t count = std::min(messages.size(), most_together);
+    const std::size_t count = std::min(messages.size(), max_records_per_message);
     for (std::size_t i = 0; i < count; ++i)
         std::visit([&](const auto& message) { writer.write(message); }, messages[i]);
     writer.put(name_hash(bytes), checksum_bytes);
     return bytes;
 }
 
-std::optional<std::vector<PeerMessage>> unpack(std::string_view bytes) {
+std::optional<std::vector<PeerMessage>> decode(std::string_view bytes) {
     if (bytes.size() < 1 + checksum_bytes || bytes.size() > max_message_bytes) return std::nullopt;
     const std::string_view body = bytes.substr(0, bytes.size() - checksum_bytes);
     RecordReader checksum(bytes.substr(body.size()));
--- a/src/decision/peer_messenger.cpp
+++ b/src/decision/peer_messenger.cpp
@@ -52,8 +52,8 @@
     peer.refilled_at = now;
     while (!peer.outbox.empty() && peer.tokens >= 1) {
         peer.tokens -= 1;
-        context_.emit(SendMessage{to, pack(peer.outbox)});
-        const auto sent = static_cast<std::ptrdiff_t>(std::min(peer.outbox.size(), most_together));
+        context_.emit(SendMessage{to, encode(peer.outbox)});
+        const auto sent = static_cast<std::ptrdiff_t>(std::min(peer.outbox.size(), max_records_per_message));
         peer.outbox.erase(peer.outbox.begin(), peer.outbox.begin() + sent);
     }
     if (!peer.outbox.empty()) flush_in(to, peer, to_micros((1 - peer.tokens) / per_second));
@@ -67,7 +67,7 @@
 }
 
 std::optional<std::vector<PeerMessage>> PeerMessenger::receive(const MessageArrived& message) {
-    std::optional<std::vector<PeerMessage>> messages = unpack(message.bytes);
+    std::optional<std::vector<PeerMessage>> messages = decode(message.bytes);
     if (!messages) return messages;
     const Micros now = context_.now();
     intake_.add(1, now, intake_memory_s);
--- a/src/decision/quota_leases.cpp
+++ b/src/decision/quota_leases.cpp
@@ -71,7 +71,7 @@
 }
 
 Micros QuotaLeases::mark_exhausted(Customer& customer, const LeaseGrant& refusal) {
-    const Micros wait = std::max(grant_timeout, Micros(refusal.wait_ms * 1000));
+    const Micros wait = std::max(grant_timeout, Micros(refusal.retry_after_ms * 1000));
     customer.quota.exhausted_until = context_.now() + wait;
     return wait;
 }
@@ -95,7 +95,7 @@
                          deficit(customer, units),
                          0,
                          ceiling_deficit(customer, units)};
-    request.extra = std::max(0.0, upcoming_demand(customer) - units);
+    request.prefetch_units = std::max(0.0, upcoming_demand(customer) - units);
     for (int place = 0; place < holder_count && quota.attempts < max_attempts; ++place) {
         const int to = holder(customer, place);
         if (to == settings.rank) return ledger_.grant(request);
@@ -151,7 +151,7 @@
     refill(customer);
     quota.tokens = std::min(quota.tokens + grant.units, std::max(plan.burst, quota.tokens));
     quota.ceiling_tokens =
-        std::min(quota.ceiling_tokens + grant.hard, even_ceiling(customer, plan.ceiling_burst));
+        std::min(quota.ceiling_tokens + grant.ceiling_units, even_ceiling(customer, plan.ceiling_burst));
     quota.fleet_demand = grant.demand;
     quota.fleet_demand_at = context_.now();
 }
@@ -206,7 +206,7 @@
     const auto lease = pending_.find(grant.nonce);
     if (lease == pending_.end() || lease->second.to != from) return std::nullopt;
     // The holder's share of the ceiling may have refilled since.
-    if (context_.since(lease->second.sent_at) > 2 * grant_timeout) grant.hard = 0;
+    if (context_.since(lease->second.sent_at) > 2 * grant_timeout) grant.ceiling_units = 0;
     const bool for_waiting = !lease->second.overdue && !lease->second.prefetch;
     return AcceptedGrant{&close(lease), grant, for_waiting};
 }
--- a/src/decision/quota_ledger.cpp
+++ b/src/decision/quota_ledger.cpp
@@ -49,23 +49,25 @@
     Ledger& ledger = find_or_create(request.customer, plan);
     const CustomerSet set{request.customer, request.set_size, request.set_start};
     refill(ledger, plan, lease_holder(settings, set) == settings.rank);
-    ledger.demand.add(request.need + request.extra, context_.now(), demand_memory_s);
+    ledger.demand.add(request.required_units + request.prefetch_units, context_.now(), demand_memory_s);
 
     LeaseGrant grant{request.nonce};
     grant.demand = ledger.demand.value(context_.now(), demand_memory_s) / demand_memory_s;
     double wait_s = 0;
-    if (request.need > ledger.tokens) wait_s = to_seconds(wait_in_turn(ledger, plan, request.need));
-    if (ledger.ceiling_tokens < request.hard)
-        wait_s =
-            std::max(wait_s, (request.hard - ledger.ceiling_tokens) / std::max(plan.ceiling_rate, min_rate));
+    if (request.required_units > ledger.tokens)
+        wait_s = to_seconds(wait_in_turn(ledger, plan, request.required_units));
+    if (ledger.ceiling_tokens < request.ceiling_units)
+        wait_s = std::max(
+            wait_s, (request.ceiling_units - ledger.ceiling_tokens) / std::max(plan.ceiling_rate, min_rate));
     if (wait_s > 0) {
-        grant.wait_ms = static_cast<std::uint32_t>(std::min(wait_s, max_wait_s) * 1e3) + 1;
+        grant.retry_after_ms = static_cast<std::uint32_t>(std::min(wait_s, max_wait_s) * 1e3) + 1;
         return grant;
     }
-    grant.units = request.need + std::clamp((ledger.tokens - request.need) / 2, 0.0, request.extra);
-    grant.hard = request.hard;
+    grant.units = request.required_units +
+                  std::clamp((ledger.tokens - request.required_units) / 2, 0.0, request.prefetch_units);
+    grant.ceiling_units = request.ceiling_units;
     ledger.tokens -= grant.units;
-    ledger.ceiling_tokens -= grant.hard;
+    ledger.ceiling_tokens -= grant.ceiling_units;
     return grant;
 }
 
--- a/src/decision/request_admission.cpp
+++ b/src/decision/request_admission.cpp
@@ -167,7 +167,8 @@
     if (accepted->for_waiting) return apply_grant(*accepted->customer, accepted->grant);
     // Its units are off the holder's ledger, so that nobody else has them. A grant of nothing is out of date
     // by now: a later request has the say.
-    if (accepted->grant.units > 0 || accepted->grant.hard > 0) credit(*accepted->customer, accepted->grant);
+    if (accepted->grant.units > 0 || accepted->grant.ceiling_units > 0)
+        credit(*accepted->customer, accepted->grant);
 }
 
 void RequestFlow::on_lease_timeout(std::uint32_t nonce) {
--- a/src/decision/rule_guard.cpp
+++ b/src/decision/rule_guard.cpp
@@ -11,7 +11,7 @@
 }  // namespace
 
 std::uint64_t RuleGuard::Violations::total() const {
-    std::uint64_t sum = refusals + late_answers + unanswered;
+    std::uint64_t sum = rejections + late_answers + unanswered;
     for (std::size_t verdict = 0; verdict < send_verdict_count; ++verdict)
         if (!crosses_completion(static_cast<SendVerdict>(verdict))) sum += sends[verdict];
     return sum;
@@ -67,11 +67,11 @@
     if (TrackedRequest* const request = find(id)) request->history.end_attempt(attempt, outcome);
 }
 
-bool RuleGuard::may_refuse(RequestId id) {
+bool RuleGuard::may_reject(RequestId id) {
     const TrackedRequest* const request = find(id);
     if (request == nullptr) return true;
     const bool allowed = RequestRules::may_reject(class_of(*request), request->history);
-    if (!allowed) ++violations_.refusals;
+    if (!allowed) ++violations_.rejections;
     return allowed;
 }
 
@@ -82,7 +82,7 @@
     request->completed = true;
 }
 
-void RuleGuard::client_left(RequestId id) {
+void RuleGuard::client_disconnected(RequestId id) {
     if (TrackedRequest* const request = find(id)) request->completed = true;
 }
 
--- a/src/json/fields.h
+++ b/src/json/fields.h
@@ -37,7 +37,7 @@
 };
 
 // Throws BadValue.
-[[noreturn]] inline void bad(std::string_view name, std::string_view expected) {
+[[noreturn]] inline void throw_bad_value(std::string_view name, std::string_view expected) {
     throw BadValue(name, expected);
 }
 
@@ -45,7 +45,7 @@
 
 [[nodiscard]] inline double as_number(element value, std::string_view name) {
     double number = 0;
-    if (value.get(number) != simdjson::SUCCESS) bad(name, "a number");
+    if (value.get(number) != simdjson::SUCCESS) throw_bad_value(name, "a number");
     return number;
 }
 
@@ -56,38 +56,38 @@
     std::int64_t integer = 0;
     if (value.get(integer) == simdjson::SUCCESS) return integer;
     const double number = as_number(value, name);
-    if (number != std::floor(number) || std::abs(number) > max_magnitude) bad(name, "an integer");
+    if (number != std::floor(number) || std::abs(number) > max_magnitude) throw_bad_value(name, "an integer");
     return static_cast<std::int64_t>(number);
 }
 
 [[nodiscard]] inline std::uint64_t as_unsigned(element value, std::string_view name) {
     std::uint64_t integer = 0;
-    if (value.get(integer) != simdjson::SUCCESS) bad(name, "a whole number not below 0");
+    if (value.get(integer) != simdjson::SUCCESS) throw_bad_value(name, "a whole number not below 0");
     return integer;
 }
 
 // The view is valid until the parser that made the element parses again.
 [[nodiscard]] inline std::string_view as_text(element value, std::string_view name) {
     std::string_view text;
-    if (value.get(text) != simdjson::SUCCESS) bad(name, "text");
+    if (value.get(text) != simdjson::SUCCESS) throw_bad_value(name, "text");
     return text;
 }
 
 [[nodiscard]] inline bool as_bool(element value, std::string_view name) {
     bool boolean = false;
-    if (value.get(boolean) != simdjson::SUCCESS) bad(name, "true or false");
+    if (value.get(boolean) != simdjson::SUCCESS) throw_bad_value(name, "true or false");
     return boolean;
 }
 
 [[nodiscard]] inline array as_array(element value, std::string_view name) {
     array values;
-    if (value.get(values) != simdjson::SUCCESS) bad(name, "an array");
+    if (value.get(values) != simdjson::SUCCESS) throw_bad_value(name, "an array");
     return values;
 }
 
 [[nodiscard]] inline object as_object(element value, std::string_view name) {
     object members;
-    if (value.get(members) != simdjson::SUCCESS) bad(name, "an object");
+    if (value.get(members) != simdjson::SUCCESS) throw_bad_value(name, "an object");
     return members;
 }
 
@@ -97,7 +97,7 @@
 [[nodiscard]] inline element required(object members, std::string_view key) {
     element value;
     if (members[key].get(value) != simdjson::SUCCESS)
-        bad("setting '" + std::string(key) + "' is missing", "a value");
+        throw_bad_value("setting '" + std::string(key) + "' is missing", "a value");
     return value;
 }
 
--- a/src/json/settings.cpp
+++ b/src/json/settings.cpp
@@ -9,7 +9,7 @@
     if (effect == "retryable") return Idempotency::idempotent;
     if (effect == "dedup") return Idempotency::with_key;
     if (effect == "fragile") return Idempotency::not_idempotent;
-    bad("effect", "retryable, dedup or fragile");
+    throw_bad_value("effect", "retryable, dedup or fragile");
 }
 
 // Unknown names give the narrowest scope.
--- a/src/server/byte_budget.h
+++ b/src/server/byte_budget.h
@@ -11,20 +11,20 @@
 class ByteBudget {
   public:
     // A reservation of bytes. Gives them back at its end.
-    class Room {
+    class Reservation {
       public:
         // Reserves nothing.
-        Room() = default;
-        Room(Room&& other) noexcept
+        Reservation() = default;
+        Reservation(Reservation&& other) noexcept
             : budget_(std::exchange(other.budget_, nullptr)), bytes_(std::exchange(other.bytes_, 0)) {}
-        Room& operator=(Room&& other) noexcept {
+        Reservation& operator=(Reservation&& other) noexcept {
             std::swap(budget_, other.budget_);
             std::swap(bytes_, other.bytes_);
             return *this;
         }
-        ~Room() { give_back(); }
+        ~Reservation() { release(); }
         // Gives the bytes back early. Does nothing where none are reserved.
-        void give_back() noexcept {
+        void release() noexcept {
             if (ByteBudget* const budget = std::exchange(budget_, nullptr)) budget->held_ -= bytes_;
         }
         // Whether it holds a reservation.
@@ -32,7 +32,7 @@
 
       private:
         friend class ByteBudget;
-        Room(ByteBudget& budget, std::size_t bytes) : budget_(&budget), bytes_(bytes) {}
+        Reservation(ByteBudget& budget, std::size_t bytes) : budget_(&budget), bytes_(bytes) {}
 
         ByteBudget* budget_ = nullptr;
         std::size_t bytes_ = 0;
@@ -41,13 +41,13 @@
     explicit ByteBudget(std::size_t limit_bytes) : limit_bytes_(limit_bytes) {}
 
     // Reserves the bytes. The result holds no reservation where they exceed what is left.
-    [[nodiscard]] Room take(std::size_t bytes) {
+    [[nodiscard]] Reservation take(std::size_t bytes) {
         if (bytes > limit_bytes_ - held_) return {};
         held_ += bytes;
         return {*this, bytes};
     }
     // How many bytes are reserved.
-    [[nodiscard]] std::size_t held() const noexcept { return held_; }
+    [[nodiscard]] std::size_t in_use() const noexcept { return held_; }
 
   private:
     const std::size_t limit_bytes_;
--- a/src/server/client_connection.cpp
+++ b/src/server/client_connection.cpp
@@ -115,7 +115,7 @@
     owner_.on_closed(ClientCloseReason::handed_over, number_, 0);
     const auto self = shared_from_this();
     ClientConnectionSet::remove(*this);
-    place_.give_back();
+    place_.release();
     owner_.on_handed_over(std::move(socket), reader_.copy_of_buffered(), first_request_);
 }
 
@@ -154,7 +154,7 @@
     error_code ec;
     // Closes with a reset, because an orderly close could be taken for the end of the response.
     socket_.set_option(asio::socket_base::linger(true, 0), ec);
-    close(ClientCloseReason::answer_broken);
+    close(ClientCloseReason::response_aborted);
 }
 
 void ClientConnection::resume() {
@@ -186,7 +186,7 @@
     const auto self = shared_from_this();
     ClientConnectionSet::remove(*this);
     reader_.give_back_room();
-    place_.give_back();
+    place_.release();
 }
 
 void ClientConnection::read() {
@@ -216,7 +216,7 @@
     if (state_ == State::lingering) return drop_input();
     // While a request is in flight everything is read, because unread bytes would hide that the client has
     // left. Pipelined data beyond the limit is dropped, and the response ends the connection.
-    if (request_ != 0 && reader_.buffered_bytes() >= most_header) {
+    if (request_ != 0 && reader_.buffered_bytes() >= max_header_bytes) {
         keep_alive_ = false;
         close_after_response_ = true;
         if (dropped_bytes_ >= client_limits::max_dropped_bytes) return close(ClientCloseReason::flood);
--- a/src/server/client_request.h
+++ b/src/server/client_request.h
@@ -15,7 +15,7 @@
     std::uint64_t connection = 0;  // the number of the connection that it came on
     Steady::time_point arrived;    // at this machine, as far as that is known: never later than it did
     Request message;
-    ByteBudget::Room room;  // reserves the bytes of its body
+    ByteBudget::Reservation room;  // reserves the bytes of its body
 };
 
 }  // namespace gateway::server
--- a/src/server/client_request_reader.cpp
+++ b/src/server/client_request_reader.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 // A header and one read may be buffered; a body is consumed as it comes.
-constexpr std::size_t max_buffered_bytes = most_header + ClientRequestReader::read_bytes;
+constexpr std::size_t max_buffered_bytes = max_header_bytes + ClientRequestReader::read_bytes;
 // A body up to this many bytes reserves none, because it costs less than its connection does anyway.
 constexpr std::size_t max_unreserved_body_bytes = 4096;
 
@@ -49,13 +49,13 @@
     parser_.emplace();
     consumed_any_ = false;
     parser_->eager(true);
-    parser_->header_limit(most_header);
+    parser_->header_limit(max_header_bytes);
     parser_->body_limit(max_buffered_body_bytes);
 }
 
 void ClientRequestReader::abort() {
     parser_.reset();
-    room_.give_back();
+    room_.release();
 }
 
 ClientRequestReader::Progress ClientRequestReader::parse() {
--- a/src/server/client_request_reader.h
+++ b/src/server/client_request_reader.h
@@ -77,9 +77,9 @@
     // Moves the request out. Requires that it is complete.
     [[nodiscard]] Released release();
     // Gives back what the body of the current or the latest request has reserved.
-    void give_back_room() { room_.give_back(); }
+    void give_back_room() { room_.release(); }
     // Moves the reservation for the body of the released request out.
-    [[nodiscard]] ByteBudget::Room take_room() { return std::move(room_); }
+    [[nodiscard]] ByteBudget::Reservation take_room() { return std::move(room_); }
 
   private:
     using Parser = http::request_parser<http::string_body>;
@@ -89,7 +89,7 @@
 
     ByteBudget& body_budget_;
     boost::beast::flat_buffer buffer_;
-    ByteBudget::Room room_;  // for the body
+    ByteBudget::Reservation room_;  // for the body
     std::optional<Parser> parser_;
     bool consumed_any_ = false;
 };
--- a/src/server/client_server.cpp
+++ b/src/server/client_server.cpp
@@ -41,7 +41,7 @@
 ClientServer::~ClientServer() {
     listener_.detach();
     budget_.on_shortage(SocketBudget::Side::client, {});
-    callbacks_.on_left = [](std::uint64_t) {};
+    callbacks_.on_disconnected = [](std::uint64_t) {};
     callbacks_.on_closed = {};
     connections_.close_all(ClientCloseReason::shutdown);
 }
@@ -68,17 +68,17 @@
     callbacks_.on_request(std::move(request));
 }
 
-void ClientServer::on_pieces_written(std::uint64_t request) { callbacks_.on_taken(request); }
+void ClientServer::on_pieces_written(std::uint64_t request) { callbacks_.on_piece_written(request); }
 
 void ClientServer::on_request_abandoned(std::uint64_t request) {
     requests_in_flight_.erase(request);
-    callbacks_.on_left(request);
+    callbacks_.on_disconnected(request);
 }
 
 void ClientServer::on_closed(ClientCloseReason reason, std::uint64_t connection, std::uint64_t request) {
     LogLine(LogLevel::debug, "client_closed")
         .with("connection", connection)
-        .with("cause", to_string(reason))
+        .with("reason", to_string(reason))
         .with("request", request);
     if (callbacks_.on_closed) callbacks_.on_closed(reason, request);
 }
@@ -108,19 +108,19 @@
     connection->pause();
 }
 
-void ClientServer::begin_answer(std::uint64_t id, Answer&& first) {
+void ClientServer::begin_response(std::uint64_t id, Answer&& first) {
     if (const auto connection = find_in_flight(id)) connection->begin_stream(std::move(first));
 }
 
-void ClientServer::go_on(std::uint64_t id, std::string&& piece) {
+void ClientServer::send_piece(std::uint64_t id, std::string&& piece) {
     if (const auto connection = find_in_flight(id)) connection->write_piece(std::move(piece), false);
 }
 
-void ClientServer::end_answer(std::uint64_t id, std::string&& last) {
+void ClientServer::end_response(std::uint64_t id, std::string&& last) {
     if (const auto connection = take_in_flight(id)) connection->write_piece(std::move(last), true);
 }
 
-void ClientServer::break_answer(std::uint64_t id) {
+void ClientServer::abort_response(std::uint64_t id) {
     if (const auto connection = take_in_flight(id)) connection->abort_stream();
 }
 
@@ -139,7 +139,7 @@
     connections_.close_idle();
 }
 
-void ClientServer::stand_by(bool enabled) {
+void ClientServer::set_standby(bool enabled) {
     standby_ = enabled;
     if (enabled) connections_.close_idle();
 }
--- a/src/server/client_server.h
+++ b/src/server/client_server.h
@@ -31,12 +31,12 @@
     struct Callbacks {
         std::function<void(ClientRequest&&)> on_request;
         // The connection closed before the request had its response.
-        std::function<void(std::uint64_t id)> on_left;
+        std::function<void(std::uint64_t id)> on_disconnected;
         // Whether the health endpoint, /_health, reports success.
         std::function<bool()> ready;
         // What has been given of a streamed response is written: the next piece can be given.
-        std::function<void(std::uint64_t id)> on_taken = {};
-        // `request`: the one in flight; 0: none. Called before `on_left`.
+        std::function<void(std::uint64_t id)> on_piece_written = {};
+        // `request`: the one in flight; 0: none. Called before `on_disconnected`.
         std::function<void(ClientCloseReason cause, std::uint64_t request)> on_closed = {};
     };
 
@@ -59,13 +59,13 @@
     // The same for a request that is rejected: the next one on its connection is parsed after a pause.
     void reject(std::uint64_t id, Answer&& answer);
 
-    // Writes a response in pieces. Each further piece is given after `on_taken`, except for the last, which
-    // may be given before it.
-    void begin_answer(std::uint64_t id, Answer&& first);
-    void go_on(std::uint64_t id, std::string&& piece);
-    void end_answer(std::uint64_t id, std::string&& last);
+    // Writes a response in pieces. Each further piece is given after `on_piece_written`, except for the last,
+    // which may be given before it.
+    void begin_response(std::uint64_t id, Answer&& first);
+    void send_piece(std::uint64_t id, std::string&& piece);
+    void end_response(std::uint64_t id, std::string&& last);
     // No more of the response comes: closes the connection so that the client can tell.
-    void break_answer(std::uint64_t id);
+    void abort_response(std::uint64_t id);
 
     // Starts to parse requests. Connections are accepted before that, and the time of their requests runs.
     void open();
@@ -73,8 +73,8 @@
     // connections are closed.
     void drain();
     // Does the same for as long as the process is on standby.
-    void stand_by(bool enabled);
-    [[nodiscard]] bool standing_by() const { return standby_; }
+    void set_standby(bool enabled);
+    [[nodiscard]] bool on_standby() const { return standby_; }
 
     // A duplicate of the listening socket, for another process.
     [[nodiscard]] Descriptor share_listener() const { return listener_.share(); }
@@ -86,12 +86,12 @@
     // Takes over a connection of another process, or closes it where no place is left for it.
     void adopt(Descriptor&& socket, std::string_view unread, bool first);
     // How many connections have a request in flight, which keeps them from being handed over.
-    [[nodiscard]] std::size_t held_up() const { return requests_in_flight_.size(); }
+    [[nodiscard]] std::size_t connections_in_flight() const { return requests_in_flight_.size(); }
     // Accepts the connections in the backlog, because the requests in them count as taken. Returns false
     // where there were none and are none now.
-    [[nodiscard]] bool take_rest() { return listener_.accept_backlog(); }
+    [[nodiscard]] bool accept_backlog() { return listener_.accept_backlog(); }
     // Whether no connection has a request in flight, half read or unread, or a response half written.
-    [[nodiscard]] bool quiet() const { return !connections_.any_busy(); }
+    [[nodiscard]] bool is_idle() const { return !connections_.any_busy(); }
     [[nodiscard]] boost::asio::ip::tcp::endpoint local_endpoint() const { return listener_.local_endpoint(); }
 
   private:
--- a/src/server/config.cpp
+++ b/src/server/config.cpp
@@ -27,7 +27,7 @@
     const std::string_view text = json::as_text(element, "seed");
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
     if (text.empty() || parsed.ec != std::errc() || parsed.ptr != text.data() + text.size())
-        json::bad("seed", "a hexadecimal number of up to 16 digits");
+        json::throw_bad_value("seed", "a hexadecimal number of up to 16 digits");
     return seed;
 }
 
@@ -36,7 +36,7 @@
     if (const auto element = json::optional_key(root, key)) return std::string(json::as_text(*element, key));
     const char* const value = environment(variable);
     if (value == nullptr)
-        json::bad(std::string(key) + " is missing", "it here or in " + std::string(variable));
+        json::throw_bad_value(std::string(key) + " is missing", "it here or in " + std::string(variable));
     return value;
 }
 
@@ -58,9 +58,9 @@
     if (const auto memory = json::optional_key(limits, "memory_mb"))
         config.memory_mb = json::as_unsigned(*memory, "limits.memory_mb");
     if (config.sockets < min_sockets)
-        json::bad("limits.sockets", std::to_string(min_sockets) + " descriptors at least");
+        json::throw_bad_value("limits.sockets", std::to_string(min_sockets) + " descriptors at least");
     if (config.memory_mb < min_memory_mb)
-        json::bad("limits.memory_mb", std::to_string(min_memory_mb) + " at least");
+        json::throw_bad_value("limits.memory_mb", std::to_string(min_memory_mb) + " at least");
 }
 
 void read_peers(json::object root, Config& config) {
@@ -79,12 +79,12 @@
         config.lists_pushed = json::as_text(*mode, "membershipMode") != "subscribe";
     const json::object guarantees = json::as_object(json::required(settings, "guarantees"), "guarantees");
     json::read(guarantees, "askWithinUs", config.max_poll_interval);
-    if (config.max_poll_interval.count() < 0) json::bad("askWithinUs", "a time of 0 or more");
+    if (config.max_poll_interval.count() < 0) json::throw_bad_value("askWithinUs", "a time of 0 or more");
     const json::object ceilings = json::as_object(json::required(settings, "ceilings"), "ceilings");
     json::read(ceilings, "connectTimeoutUs", config.connect_timeout);
     json::read(ceilings, "connIdleUs", config.idle_limit);
-    if (config.connect_timeout.count() <= 0) json::bad("connectTimeoutUs", "a time above 0");
-    if (config.idle_limit.count() <= 0) json::bad("connIdleUs", "a time above 0");
+    if (config.connect_timeout.count() <= 0) json::throw_bad_value("connectTimeoutUs", "a time above 0");
+    if (config.idle_limit.count() <= 0) json::throw_bad_value("connIdleUs", "a time above 0");
 }
 
 Config read(json::object root, const Environment& environment) {
--- a/src/server/discovery.cpp
+++ b/src/server/discovery.cpp
@@ -34,7 +34,7 @@
 constexpr std::size_t max_list_bytes = 32 * 1024 * 1024;
 // The response is parsed while it arrives: what is unread is a header or one read. Only a line without an end
 // in a chunked list would be longer.
-constexpr std::size_t max_unread_bytes = most_header + 64 * 1024;
+constexpr std::size_t max_unread_bytes = max_header_bytes + 64 * 1024;
 }  // namespace
 
 // The time from one call to the next, which is the response timeout and the backoff after it, stays within
@@ -164,7 +164,7 @@
 
 void Discovery::read_response() {
     parser_.emplace();
-    parser_->header_limit(most_header);
+    parser_->header_limit(max_header_bytes);
     parser_->body_limit(max_list_bytes);
     response_deadline_.reset();
     read_more();
@@ -224,7 +224,7 @@
 // polled.
 void Discovery::retry(const char* cause, Failure failure) {
     const bool first_failure = !std::exchange(failing_, true);
-    if (first_failure) LogLine(LogLevel::warning, "discovery_failed").with("cause", cause);
+    if (first_failure) LogLine(LogLevel::warning, "discovery_failed").with("reason", cause);
     reset_connection();
     if (failure == Failure::connection_lost) version_.reset();
     // Discovery regards what a silent watch misses as delivered after some seconds, so there is no time to
--- a/src/server/endpoint_list.cpp
+++ b/src/server/endpoint_list.cpp
@@ -11,7 +11,7 @@
     if (state == "ready") return EndpointState::ready;
     if (state == "draining") return EndpointState::draining;
     if (state == "gone") return EndpointState::gone;
-    json::bad("state", "ready, draining or gone");
+    json::throw_bad_value("state", "ready, draining or gone");
 }
 
 Endpoint read_entry(json::object entry) {
@@ -37,7 +37,7 @@
 SocketAddress read_endpoint(std::string_view text, std::string_view what) {
     constexpr std::string_view expected = "an address and port such as 127.0.0.1:8080";
     const std::size_t colon = text.rfind(':');
-    if (colon == std::string_view::npos) json::bad(what, expected);
+    if (colon == std::string_view::npos) json::throw_bad_value(what, expected);
     std::string_view host = text.substr(0, colon);
     if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
     boost::system::error_code ec;
@@ -45,7 +45,7 @@
     std::uint16_t port = 0;
     const char* const end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data() + colon + 1, end, port);
-    if (ec || parsed.ec != std::errc() || parsed.ptr != end) json::bad(what, expected);
+    if (ec || parsed.ec != std::errc() || parsed.ptr != end) json::throw_bad_value(what, expected);
     return {address, port};
 }
 template boost::asio::ip::tcp::endpoint read_endpoint(std::string_view, std::string_view);
--- a/src/server/graceful_shutdown.cpp
+++ b/src/server/graceful_shutdown.cpp
@@ -61,13 +61,13 @@
     const bool time_over = clock_.now() >= latest_end_;
     if (time_over) requests_.fail_unanswered();
     ClientServer& clients = *listeners_.clients();
-    if (!time_over && (!clients.quiet() || clients.take_rest() || upgrade_.is_delivering())) {
+    if (!time_over && (!clients.is_idle() || clients.accept_backlog() || upgrade_.is_delivering())) {
         check_after(check_interval);
         return;
     }
     discovery_->stop();
     LogLine(LogLevel::info, "drained")
-        .with("cause", time_over ? "time_over" : "quiet")
+        .with("reason", time_over ? "time_over" : "quiet")
         .with("rule_violations", guard_.violations().total());
     on_drained_();
 }
--- a/src/server/handover.cpp
+++ b/src/server/handover.cpp
@@ -173,14 +173,14 @@
     return ::sendmsg(socket_.native_handle(), &header, MSG_NOSIGNAL) >= 0;
 }
 
-HandoverPlace::HandoverPlace(asio::io_context& io, std::string folder, const std::string& name)
+HandoverSocket::HandoverSocket(asio::io_context& io, std::string folder, const std::string& name)
     : io_(io),
       folder_(std::move(folder)),
       name_(socket_name_prefix + name),
       listener_(io),
       accept_retry_(io) {}
 
-std::shared_ptr<HandoverChannel> HandoverPlace::find() const {
+std::shared_ptr<HandoverChannel> HandoverSocket::find() const {
     const Descriptor folder = open_folder(folder_);
     if (!folder) return nullptr;
     const auto address = address_in(folder, name_);
@@ -191,7 +191,7 @@
     return std::make_shared<HandoverChannel>(io_, std::move(socket));
 }
 
-void HandoverPlace::wait(std::function<void(std::shared_ptr<HandoverChannel>)> on_successor) {
+void HandoverSocket::wait(std::function<void(std::shared_ptr<HandoverChannel>)> on_successor) {
     on_successor_ = std::move(on_successor);
     const Descriptor folder = open_folder(folder_);
     if (!folder) return;
@@ -213,13 +213,13 @@
     accept();
 }
 
-void HandoverPlace::stop() {
+void HandoverSocket::stop() {
     error_code ec;
     accept_retry_.cancel();
     listener_.close(ec);
 }
 
-void HandoverPlace::accept() {
+void HandoverSocket::accept() {
     listener_.async_wait(asio::posix::stream_descriptor::wait_read, [this](error_code ec) {
         if (ec || !listener_.is_open()) return;
         Descriptor socket(
--- a/src/server/handover.h
+++ b/src/server/handover.h
@@ -94,10 +94,10 @@
 };
 
 // The socket in $TMPDIR on which a process listens for its successor.
-class HandoverPlace {
+class HandoverSocket {
   public:
     // `name` distinguishes gateways from each other. With an empty `folder` there is no such socket.
-    HandoverPlace(boost::asio::io_context& io, std::string folder, const std::string& name);
+    HandoverSocket(boost::asio::io_context& io, std::string folder, const std::string& name);
     // Connects to the process that listens there; null if there is none.
     [[nodiscard]] std::shared_ptr<HandoverChannel> find() const;
     // Listens there from now on, in place of any other process. A failure is logged.
--- a/src/server/host_connection.cpp
+++ b/src/server/host_connection.cpp
@@ -129,7 +129,7 @@
     deadline_timer_.cancel();
     error_code ec;
     Descriptor socket(socket_.release(ec));
-    place_.give_back();
+    place_.release();
     return socket;
 }
 
@@ -140,7 +140,7 @@
     connect_retry_timer_.cancel();
     error_code ec;
     socket_.close(ec);
-    place_.give_back();
+    place_.release();
 }
 
 void HostConnection::connect() {
--- a/src/server/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -55,7 +55,7 @@
 }
 
 void HostPool::on_closed(HostCloseReason reason, const std::string& uid) {
-    LogLine(LogLevel::debug, "host_connection_closed").with("cause", to_string(reason)).with("host", uid);
+    LogLine(LogLevel::debug, "host_connection_closed").with("reason", to_string(reason)).with("host", uid);
     if (callbacks_.on_closed) callbacks_.on_closed(reason);
 }
 
@@ -67,10 +67,10 @@
     callbacks_.on_probe(uid, std::move(result));
 }
 
-bool HostPool::streams_responses() const { return static_cast<bool>(callbacks_.on_begun); }
+bool HostPool::streams_responses() const { return static_cast<bool>(callbacks_.on_response_started); }
 
 bool HostPool::on_response_begun(const AttemptKey& key, const std::string& uid, HostResult&& result) {
-    return callbacks_.on_begun(key, uid, std::move(result));
+    return callbacks_.on_response_started(key, uid, std::move(result));
 }
 
 void HostPool::on_response_piece(const AttemptKey& key, std::string&& piece) {
@@ -125,7 +125,7 @@
     });
 }
 
-void HostPool::withdraw(std::uint64_t request) {
+void HostPool::cancel_unsent(std::uint64_t request) {
     end_unsent(HostOutcome::withdrawn, [request](const HostConnection& connection) {
         return connection.carries_attempt_of(request);
     });
@@ -204,7 +204,7 @@
     if (const auto connection = connection_of(key)) connection->cancel();
 }
 
-void HostPool::read_on(const AttemptKey& key) {
+void HostPool::resume_reading(const AttemptKey& key) {
     if (const auto connection = connection_of(key)) connection->resume_reading();
 }
 
--- a/src/server/host_pool.h
+++ b/src/server/host_pool.h
@@ -33,10 +33,10 @@
         std::function<void(const AttemptKey&, const std::string& uid, HostResult&&)> on_attempt;
         std::function<void(const std::string& uid, HostResult&&)> on_probe;
         // A successful response that is streamed has begun, and a further piece of it has come; the last
-        // piece comes with `on_attempt`. After each the host is read on when `read_on` is called. `on_begun`
-        // returns false to have the attempt cancelled, because nobody waits for the response any more.
-        // Without `on_begun` no response is streamed.
-        std::function<bool(const AttemptKey&, const std::string& uid, HostResult&&)> on_begun = {};
+        // piece comes with `on_attempt`. After each the host is read on when `resume_reading` is called.
+        // `on_response_started` returns false to have the attempt cancelled, because nobody waits for the
+        // response any more. Without `on_response_started` no response is streamed.
+        std::function<bool(const AttemptKey&, const std::string& uid, HostResult&&)> on_response_started = {};
         std::function<void(const AttemptKey&, std::string&& piece)> on_piece = {};
         // A connection was closed.
         std::function<void(HostCloseReason cause)> on_closed = {};
@@ -61,9 +61,9 @@
     // Ends the attempt with the outcome `cancelled`. Does nothing if it is not in flight.
     void cancel(const AttemptKey& key);
     // Ends those attempts of the request that are unsent.
-    void withdraw(std::uint64_t request);
+    void cancel_unsent(std::uint64_t request);
     // Reads on from the host of a streamed response.
-    void read_on(const AttemptKey& key);
+    void resume_reading(const AttemptKey& key);
     // Sends a health check to the host.
     void probe(const std::string& uid);
 
--- a/src/server/host_response_reader.cpp
+++ b/src/server/host_response_reader.cpp
@@ -10,7 +10,7 @@
 constexpr int max_interim_responses = 8;
 }  // namespace
 
-HostResponseReader::HostResponseReader() : buffer_(max_buffered_body_bytes + most_header) {}
+HostResponseReader::HostResponseReader() : buffer_(max_buffered_body_bytes + max_header_bytes) {}
 
 void HostResponseReader::start(bool without_body) {
     without_body_ = without_body;
@@ -21,7 +21,7 @@
 void HostResponseReader::reset_parser() {
     parser_.emplace();
     parser_->eager(false);  // the header is checked before space for a body is allocated
-    parser_->header_limit(most_header);
+    parser_->header_limit(max_header_bytes);
     parser_->body_limit(max_streamed_body_bytes);
     parser_->skip(without_body_);
 }
--- a/src/server/http.h
+++ b/src/server/http.h
@@ -17,7 +17,7 @@
 using Answer = http::response<http::string_body>;
 
 // The limit of a message's header, in bytes.
-constexpr std::size_t most_header = 16 * 1024;
+constexpr std::size_t max_header_bytes = 16 * 1024;
 // A body up to this many bytes is held complete in memory; a longer response is streamed.
 constexpr std::size_t max_buffered_body_bytes = 64 * 1024;
 // The limit of a streamed response's body, in bytes.
--- a/src/server/in_flight_requests.h
+++ b/src/server/in_flight_requests.h
@@ -17,8 +17,8 @@
 
 // A request that waits for its final answer, or one that has it and still has attempts in flight.
 struct InFlightRequest {
-    Request message;             // emptied once the request is answered
-    ByteBudget::Room body_room;  // the memory reserved for the message's body
+    Request message;                    // emptied once the request is answered
+    ByteBudget::Reservation body_room;  // the memory reserved for the message's body
     std::string trace_id;
     Micros deadline{0};                    // clock time
     int attempts_started = 0;              // also the number of the next attempt
--- a/src/server/listeners.cpp
+++ b/src/server/listeners.cpp
@@ -24,7 +24,7 @@
                                               config_.memory_mb * bytes_per_mib / body_memory_divisor,
                                               callbacks_.clients, std::move(client_listener));
     });
-    clients_->stand_by(standby_);
+    clients_->set_standby(standby_);
     if (may_accept_) clients_->open();
 }
 
@@ -45,7 +45,7 @@
 
 void Listeners::set_standby(bool standby) {
     standby_ = standby;
-    if (clients_) clients_->stand_by(standby);
+    if (clients_) clients_->set_standby(standby);
 }
 
 }  // namespace gateway::server
--- a/src/server/metrics.cpp
+++ b/src/server/metrics.cpp
@@ -30,18 +30,18 @@
     add_type(text, "api_gateway_answers_total");
     for (const auto& [status, count] : answers_)
         add_sample(text, "api_gateway_answers_total", "status", std::to_string(status), count);
-    add_family(text, "api_gateway_refusals_total", "cause", rejections_);
-    add_family(text, "api_gateway_failures_total", "cause", failures_);
-    add_family(text, "api_gateway_attempts_begun_total", "cause", attempts_begun_);
+    add_family(text, "api_gateway_rejections_total", "reason", rejections_);
+    add_family(text, "api_gateway_failures_total", "reason", failures_);
+    add_family(text, "api_gateway_attempts_begun_total", "reason", attempts_begun_);
     add_family(text, "api_gateway_attempts_ended_total", "outcome", attempts_ended_);
-    add_family(text, "api_gateway_client_connections_closed_total", "cause", client_closes_);
-    add_family(text, "api_gateway_host_connections_closed_total", "cause", host_closes_);
-    add_type(text, "api_gateway_sends_held_back_total");
+    add_family(text, "api_gateway_client_connections_closed_total", "reason", client_closes_);
+    add_family(text, "api_gateway_host_connections_closed_total", "reason", host_closes_);
+    add_type(text, "api_gateway_sends_blocked_total");
     for (std::size_t verdict = 1; verdict < decision::send_verdict_count; ++verdict)
-        add_sample(text, "api_gateway_sends_held_back_total", "verdict",
+        add_sample(text, "api_gateway_sends_blocked_total", "verdict",
                    decision::to_string(static_cast<decision::SendVerdict>(verdict)),
                    violations.sends[verdict]);
-    add_counter(text, "api_gateway_refusals_held_back_total", violations.refusals);
+    add_counter(text, "api_gateway_rejections_blocked_total", violations.rejections);
     add_counter(text, "api_gateway_late_answers_total", violations.late_answers);
     add_counter(text, "api_gateway_closed_unanswered_total", violations.unanswered);
     add_counter(text, "api_gateway_rule_violations_total", violations.total());
--- a/src/server/reasons.cpp
+++ b/src/server/reasons.cpp
@@ -54,8 +54,8 @@
             return "closed_by_client";
         case ClientCloseReason::write_failed:
             return "write_failed";
-        case ClientCloseReason::answer_broken:
-            return "answer_broken";
+        case ClientCloseReason::response_aborted:
+            return "response_aborted";
         case ClientCloseReason::linger_timeout:
             return "linger_timeout";
         case ClientCloseReason::timeout:
--- a/src/server/reasons.h
+++ b/src/server/reasons.h
@@ -37,7 +37,7 @@
 enum class ClientCloseReason {
     closed_by_client,  // it closed, or its connection broke
     write_failed,      // a response could not be written
-    answer_broken,     // a streamed response broke off at its host, and the client has to see that
+    response_aborted,  // a streamed response broke off at its host, and the client has to see that
     linger_timeout,    // closed by this side after its last response
     timeout,           // the client read nothing of its response, or was silent, for too long
     evicted,           // its descriptor is needed for another connection
--- a/src/server/request_handler.cpp
+++ b/src/server/request_handler.cpp
@@ -85,7 +85,7 @@
 
 void RequestHandler::reject_invalid(decision::RequestId id, const RequestError& error) {
     metrics_.request_invalid();
-    LogLine(LogLevel::debug, "request_invalid").with("request", id).with("cause", error.message);
+    LogLine(LogLevel::debug, "request_invalid").with("request", id).with("reason", error.message);
     clients().reject(id, make_answer(error.status, error.message + '\n'));
 }
 
@@ -98,13 +98,14 @@
     }
     if (request->answered) return;
     LogLine(LogLevel::debug, "client_disconnected").with("request", id).with("trace", request->trace_id);
-    guard_.client_left(id);
+    guard_.client_disconnected(id);
     dispatcher_.dispatch_before(decision::ClientDisconnected{id}, [&] { close(id, *request); });
 }
 
 void RequestHandler::on_piece_written(decision::RequestId id) {
     const InFlightRequest* const request = requests_.find(id);
-    if (request != nullptr && request->streaming_attempt) pool_.read_on({id, *request->streaming_attempt});
+    if (request != nullptr && request->streaming_attempt)
+        pool_.resume_reading({id, *request->streaming_attempt});
 }
 
 void RequestHandler::on_client_closed(ClientCloseReason reason, decision::RequestId id) {
@@ -116,7 +117,7 @@
     LogLine(LogLevel::error, "closed_unanswered")
         .with("request", id)
         .with("trace", request->trace_id)
-        .with("cause", to_string(reason));
+        .with("reason", to_string(reason));
 }
 
 // ---- hosts ----
@@ -140,8 +141,8 @@
     if (request->streaming_attempt == key.attempt) {
         request->streaming_attempt.reset();
         if (result.outcome == HostOutcome::success)
-            clients().end_answer(key.request, std::move(result.answer.body()));
-        else clients().break_answer(key.request);
+            clients().end_response(key.request, std::move(result.answer.body()));
+        else clients().abort_response(key.request);
     }
     decision::AttemptEnded event;
     event.id = key.request;
@@ -170,7 +171,7 @@
     guard_.answered(key.request, clock_.now());
     dispatcher_.dispatch_before(decision::ResponseStarted{key.request, uid},
                                 [&] { close(key.request, *request); });
-    clients().begin_answer(key.request, std::move(result.answer));
+    clients().begin_response(key.request, std::move(result.answer));
     return true;
 }
 
@@ -187,7 +188,7 @@
         .with("request", action.id)
         .with("trace", request->trace_id)
         .with("attempt", attempt)
-        .with("cause", to_string(action.reason))
+        .with("reason", to_string(action.reason))
         .with("host", action.host)
         .with("left", time_left)
         .with("verdict", to_string(verdict));
@@ -214,7 +215,7 @@
 void RequestHandler::execute(const decision::RejectRequest& action) {
     InFlightRequest* const request = requests_.find(action.id);
     if (request == nullptr || request->answered) return;
-    if (!guard_.may_refuse(action.id)) {
+    if (!guard_.may_reject(action.id)) {
         LogLine(LogLevel::error, "rejection_blocked")
             .with("request", action.id)
             .with("trace", request->trace_id);
@@ -224,7 +225,7 @@
     LogLine(LogLevel::debug, "request_shed")
         .with("request", action.id)
         .with("trace", request->trace_id)
-        .with("cause", to_string(action.reason))
+        .with("reason", to_string(action.reason))
         .with("retry_after", action.retry_after);
     metrics_.request_shed(action.reason);
     Answer rejection = make_answer(request->attempts_started == 0 ? http::status::too_many_requests
@@ -240,7 +241,7 @@
     LogLine(LogLevel::debug, "request_failed")
         .with("request", action.id)
         .with("trace", request->trace_id)
-        .with("cause", to_string(action.reason));
+        .with("reason", to_string(action.reason));
     metrics_.request_failed(action.reason);
     answer(action.id, *request, make_answer(http::status::gateway_timeout));
 }
@@ -272,8 +273,8 @@
 void RequestHandler::close(decision::RequestId id, InFlightRequest& request) {
     request.answered = true;
     request.message = {};
-    request.body_room.give_back();
-    if (request.attempts_in_flight > 0) pool_.withdraw(id);
+    request.body_room.release();
+    if (request.attempts_in_flight > 0) pool_.cancel_unsent(id);
     erase_if_over(id);
 }
 
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -63,11 +63,11 @@
     callbacks.on_probe = [this](const auto& uid, auto&& result) {
         hosts_.on_health_check_ended(uid, std::move(result));
     };
-    callbacks.on_begun = [this](const auto& key, const auto& uid, auto&& result) {
+    callbacks.on_response_started = [this](const auto& key, const auto& uid, auto&& result) {
         return requests_.on_response_started(key, uid, std::move(result));
     };
     callbacks.on_piece = [this](const auto& key, std::string&& piece) {
-        listeners_.clients()->go_on(key.request, std::move(piece));
+        listeners_.clients()->send_piece(key.request, std::move(piece));
     };
     callbacks.on_closed = [this](HostCloseReason reason) { metrics_.host_closed(reason); };
     return callbacks;
@@ -76,9 +76,9 @@
 ClientServer::Callbacks Runtime::client_callbacks() {
     ClientServer::Callbacks callbacks;
     callbacks.on_request = [this](ClientRequest&& request) { requests_.on_request(std::move(request)); };
-    callbacks.on_left = [this](std::uint64_t id) { requests_.on_client_disconnected(id); };
+    callbacks.on_disconnected = [this](std::uint64_t id) { requests_.on_client_disconnected(id); };
     callbacks.ready = [this] { return ready(); };
-    callbacks.on_taken = [this](std::uint64_t id) { requests_.on_piece_written(id); };
+    callbacks.on_piece_written = [this](std::uint64_t id) { requests_.on_piece_written(id); };
     callbacks.on_closed = [this](ClientCloseReason reason, std::uint64_t request) {
         requests_.on_client_closed(reason, request);
     };
--- a/src/server/socket_budget.h
+++ b/src/server/socket_budget.h
@@ -27,9 +27,9 @@
             std::swap(side_, other.side_);
             return *this;
         }
-        ~Place() { give_back(); }
+        ~Place() { release(); }
         // Gives the place back early. Does nothing where it holds none.
-        void give_back() {
+        void release() {
             if (SocketBudget* const budget = std::exchange(budget_, nullptr)) budget->free(side_);
         }
 
@@ -62,7 +62,7 @@
     // The limit for both sides together.
     [[nodiscard]] std::size_t most() const { return limit_; }
     // Changes the limit, because two processes share it during an upgrade.
-    void set_most(std::size_t sockets) {
+    void set_limit(std::size_t sockets) {
         limit_ = sockets;
         limit_per_side_ = limit_per_side_of(sockets);
         if (freed_) freed_();
--- a/src/server/upgrade.cpp
+++ b/src/server/upgrade.cpp
@@ -19,7 +19,7 @@
 constexpr auto takeover_timeout = 1500ms;
 }  // namespace
 
-Upgrade::Upgrade(boost::asio::io_context& io, HandoverPlace&& place, Callbacks callbacks)
+Upgrade::Upgrade(boost::asio::io_context& io, HandoverSocket&& place, Callbacks callbacks)
     : timeout_(io), place_(std::move(place)), callbacks_(std::move(callbacks)) {}
 
 Upgrade::~Upgrade() {
@@ -70,7 +70,7 @@
 void Upgrade::serve_without_takeover(const char* reason) {
     if (stage_ == Stage::serving) return;
     stage_ = Stage::serving;
-    LogLine(LogLevel::warning, "upgrade_predecessor_skipped").with("cause", reason);
+    LogLine(LogLevel::warning, "upgrade_predecessor_skipped").with("reason", reason);
     timeout_.cancel();
     if (predecessor_) predecessor_->close();
     predecessor_.reset();
@@ -161,7 +161,7 @@
     std::deque<HandoverMessage> unsent = successor_->take_unsent();
     successor_.reset();
     if (!std::exchange(handed_over_, false)) return;
-    LogLine(LogLevel::warning, "upgrade_rolled_back").with("cause", "the next process has ended");
+    LogLine(LogLevel::warning, "upgrade_rolled_back").with("reason", "the next process has ended");
     callbacks_.on_successor_lost();
     for (HandoverMessage& message : unsent)
         if (message.kind == Kind::client_connection || message.kind == Kind::host_connection)
--- a/src/server/upgrade.h
+++ b/src/server/upgrade.h
@@ -41,7 +41,7 @@
         // The other process notifies of a ban, standby or host name.
         std::function<void(HandoverMessage&&)> on_notification;
     };
-    Upgrade(boost::asio::io_context& io, HandoverPlace&& place, Callbacks callbacks);
+    Upgrade(boost::asio::io_context& io, HandoverSocket&& place, Callbacks callbacks);
     ~Upgrade();
     Upgrade(const Upgrade&) = delete;
     Upgrade& operator=(const Upgrade&) = delete;
@@ -74,7 +74,7 @@
     void listen_for_successor();
 
     boost::asio::steady_timer timeout_;  // of the predecessor's next step
-    HandoverPlace place_;
+    HandoverSocket place_;
     Callbacks callbacks_;
     std::shared_ptr<HandoverChannel> predecessor_;
     std::shared_ptr<HandoverChannel> successor_;
--- a/src/server/upgrade_coordinator.cpp
+++ b/src/server/upgrade_coordinator.cpp
@@ -35,7 +35,8 @@
       hosts_(dependencies.hosts),
       pool_(dependencies.pool),
       listeners_(dependencies.listeners),
-      upgrade_(io, HandoverPlace(io, dependencies.config.handover_folder, handover_name(dependencies.config)),
+      upgrade_(io,
+               HandoverSocket(io, dependencies.config.handover_folder, handover_name(dependencies.config)),
                make_callbacks()) {}
 
 Upgrade::Callbacks UpgradeCoordinator::make_callbacks() {
@@ -43,7 +44,7 @@
     callbacks.on_taken_over = [this](Upgrade::InheritedState&& inherited) { serve(std::move(inherited)); };
     callbacks.on_no_takeover = [this] { serve({}); };
     callbacks.on_connection = [this](HandoverMessage&& message) { adopt_connection(std::move(message)); };
-    callbacks.on_predecessor_ended = [this] { budget_.set_most(total_sockets_); };
+    callbacks.on_predecessor_ended = [this] { budget_.set_limit(total_sockets_); };
     callbacks.on_hand_over = [this](HandoverChannel& successor) { hand_over(successor); };
     callbacks.on_successor_lost = [this] { resume_serving(); };
     callbacks.on_notification = [this](HandoverMessage&& message) { apply_notification(message); };
@@ -60,7 +61,7 @@
 
 void UpgradeCoordinator::serve(Upgrade::InheritedState&& inherited) {
     if (inherited.sockets_kept > 0)
-        budget_.set_most(total_sockets_ - std::min(inherited.sockets_kept, total_sockets_ / 2));
+        budget_.set_limit(total_sockets_ - std::min(inherited.sockets_kept, total_sockets_ / 2));
     for (const HandoverMessage& notification : inherited.notifications) apply_notification(notification);
     if (!inherited.snapshot.empty())
         dispatcher_.dispatch(decision::RestoreSnapshot{std::move(inherited.snapshot)});
@@ -71,10 +72,10 @@
 void UpgradeCoordinator::hand_over(HandoverChannel& successor) {
     dispatcher_.dispatch(decision::HandedOver{true});
     const std::size_t sockets_kept =
-        listeners_.clients()->held_up() + pool_.busy() + sockets_for_further_attempts;
+        listeners_.clients()->connections_in_flight() + pool_.busy() + sockets_for_further_attempts;
     send_state(successor, sockets_kept);
     send_connections(successor);
-    budget_.set_most(sockets_kept);
+    budget_.set_limit(sockets_kept);
     std::string().swap(snapshot_);
 }
 
@@ -107,7 +108,7 @@
 
 // Also while this process drains, because no other process serves what arrives meanwhile.
 void UpgradeCoordinator::resume_serving() {
-    budget_.set_most(total_sockets_);
+    budget_.set_limit(total_sockets_);
     dispatcher_.dispatch(decision::HandedOver{false});
     if (PeerLink* const peers = listeners_.peers()) peers->listen(true);
     listeners_.clients()->take_back();
--- a/src/simulator_adapter/event_reader.cpp
+++ b/src/simulator_adapter/event_reader.cpp
@@ -26,7 +26,7 @@
          {"NOP", Outcome::not_sent}}};
     for (const auto& [name, outcome] : outcomes)
         if (name == status) return outcome;
-    bad("status", "GOOD, BAD, FULL, LATE, NOCONN, RST, CXL or NOP");
+    throw_bad_value("status", "GOOD, BAD, FULL, LATE, NOCONN, RST, CXL or NOP");
 }
 
 LoadReport read_load_report(const Fields& fields, std::size_t position) {
@@ -90,7 +90,7 @@
     if (const auto plan = fields.optional(7))
         request.plan = index.plan(as_text(*plan, "contract")).value_or(unknown_plan);
     const auto request_class = index.request_class(as_text(fields.required(8, "category"), "category"));
-    if (!request_class) bad("category", "a class of the settings");
+    if (!request_class) throw_bad_value("category", "a class of the settings");
     request.request_class = *request_class;
     if (const auto units = fields.optional(9)) request.units = as_number(*units, "sizeUnits");
     return request;
@@ -116,7 +116,7 @@
 
 MessageArrived read_message_arrived(const Fields& fields) {
     const auto bytes = decode_base64(as_text(fields.required(2, "bytes"), "bytes"));
-    if (!bytes) bad("bytes", "padded base64");
+    if (!bytes) throw_bad_value("bytes", "padded base64");
     const auto from = static_cast<int>(as_integer(fields.required(1, "neighbour"), "neighbour"));
     return {from, *bytes};
 }
--- a/src/simulator_adapter/host_lists.cpp
+++ b/src/simulator_adapter/host_lists.cpp
@@ -10,7 +10,7 @@
     if (health == "U") return HostState::up;
     if (health == "L") return HostState::draining;
     if (health == "D") return HostState::gone;
-    bad("health", "U, L or D");
+    throw_bad_value("health", "U, L or D");
 }
 
 HostEntry read_host_entry(const Fields& row) {
@@ -39,7 +39,7 @@
 
 void HostLists::declare(const Fields& fields) {
     const std::int64_t slot = as_integer(fields.required(0, "slot"), "slot");
-    if (!is_slot(slot)) bad("slot", "a list number from 0 to 15");
+    if (!is_slot(slot)) throw_bad_value("slot", "a list number from 0 to 15");
     HostEntries entries;
     for (const element record : as_array(fields.required(1, "records"), "records"))
         entries.push_back(read_host_entry(read_row(record)));
@@ -48,7 +48,7 @@
 
 const HostEntries& HostLists::at(std::int64_t slot) const {
     if (!is_slot(slot) || !lists_[static_cast<std::size_t>(slot)])
-        bad("slot", "the number of a list that a Directory declared");
+        throw_bad_value("slot", "the number of a list that a Directory declared");
     return *lists_[static_cast<std::size_t>(slot)];
 }
 
--- a/src/simulator_adapter/message.cpp
+++ b/src/simulator_adapter/message.cpp
@@ -2,14 +2,14 @@
 
 namespace gateway::simulator {
 
-using json::bad;
+using json::throw_bad_value;
 
 void Fields::append(json::element value) noexcept {
     if (count_ < max_count) values_[count_++] = value;
 }
 
 json::element Fields::required(std::size_t position, std::string_view name) const {
-    if (position >= count_) bad(name, "a value, the line is too short");
+    if (position >= count_) throw_bad_value(name, "a value, the line is too short");
     return values_[position];
 }
 
@@ -25,9 +25,9 @@
     line.reserve(line.size() + simdjson::SIMDJSON_PADDING);
     json::element root;
     if (parser_.parse(line.data(), line.size(), copy_into_padded_buffer).get(root) != simdjson::SUCCESS)
-        bad("malformed line", "one JSON array");
+        throw_bad_value("malformed line", "one JSON array");
     json::array values;
-    if (root.get(values) != simdjson::SUCCESS) bad("malformed line", "one JSON array");
+    if (root.get(values) != simdjson::SUCCESS) throw_bad_value("malformed line", "one JSON array");
     Message message;
     bool has_name = false;
     for (const json::element value : values) {
@@ -38,7 +38,7 @@
             has_name = true;
         }
     }
-    if (!has_name) bad("malformed line", "a message name");
+    if (!has_name) throw_bad_value("malformed line", "a message name");
     return message;
 }
 
--- a/src/simulator_adapter/simulator_wire.cpp
+++ b/src/simulator_adapter/simulator_wire.cpp
@@ -126,7 +126,7 @@
         begin_batch(message.fields);
         return false;
     }
-    if (!in_batch_) bad("message outside a batch", "a Turn line first");
+    if (!in_batch_) throw_bad_value("message outside a batch", "a Turn line first");
     if (message.name == "EofBatch") {
         end_batch(reply);
         return true;
@@ -137,7 +137,7 @@
 
 void SimulatorWire::State::begin_batch(const Fields& fields) {
     const Micros clock(as_integer(fields.required(0, "clock"), "clock"));
-    if (clock < now_) bad("clock", "a time that does not go back");
+    if (clock < now_) throw_bad_value("clock", "a time that does not go back");
     now_ = clock;
     in_batch_ = true;
 }
@@ -155,7 +155,7 @@
 
 void SimulatorWire::State::attach(const Fields& fields) {
     const std::int64_t gateway_id = as_integer(fields.required(0, "gatewayId"), "gatewayId");
-    if (gateway_id < 0) bad("gatewayId", "a number not below 0");
+    if (gateway_id < 0) throw_bad_value("gatewayId", "a number not below 0");
     const Settings settings = read_settings(as_object(fields.required(2, "config"), "config"));
     const std::uint64_t seed = as_unsigned(fields.required(1, "rngSeed"), "rngSeed");
     instances_.insert_or_assign(gateway_id, Instance{Gateway(settings, seed, now_), SettingsIndex(settings)});
--- a/tests/decision/concurrency_test.cpp
+++ b/tests/decision/concurrency_test.cpp
@@ -80,16 +80,16 @@
             // The other gateway has asked for as much, which the home tells both.
             const auto nonce = static_cast<std::uint32_t>(id);
             gateway.handle(MessageArrived{1 - settings.rank,
-                                          pack({LeaseRequest{nonce, name_hash("c"), 0, 2, 0, 0, 4, 0}})});
+                                          encode({LeaseRequest{nonce, name_hash("c"), 0, 2, 0, 0, 4, 0}})});
             const auto out = gateway.request(id, 1, 2s, 0, 0, "c", 2);
             sent += actions_of<SendAttempt>(out).size();
             for (const SendMessage& sent_message : actions_of<SendMessage>(out)) {
-                const auto messages = unpack(sent_message.bytes);
+                const auto messages = decode(sent_message.bytes);
                 for (const PeerMessage& message : *messages)
                     if (const auto* asked = std::get_if<LeaseRequest>(&message))
                         sent += actions_of<SendAttempt>(
                                     gateway.handle(MessageArrived{
-                                        sent_message.to, pack({LeaseGrant{asked->nonce, 1, 0, 0, 100}})}))
+                                        sent_message.to, encode({LeaseGrant{asked->nonce, 1, 0, 0, 100}})}))
                                     .size();
             }
         }
--- a/tests/decision/gateway_fixture.h
+++ b/tests/decision/gateway_fixture.h
@@ -123,8 +123,8 @@
 
 // The home's grant for the first lease request of a message.
 inline std::vector<Action> grant_lease(ClockedGateway& gateway, const SendMessage& asked, double units) {
-    const auto nonce = std::get<LeaseRequest>(unpack(asked.bytes)->at(0)).nonce;
-    return gateway.handle(MessageArrived{asked.to, pack({LeaseGrant{nonce, units, 0, 0, 1}})});
+    const auto nonce = std::get<LeaseRequest>(decode(asked.bytes)->at(0)).nonce;
+    return gateway.handle(MessageArrived{asked.to, encode({LeaseGrant{nonce, units, 0, 0, 1}})});
 }
 
 // Answers so slow that the hosts count as overloaded.
--- a/tests/decision/invalid_input_test.cpp
+++ b/tests/decision/invalid_input_test.cpp
@@ -43,14 +43,14 @@
     for (const LeaseRequest& ask :
          {LeaseRequest{1, 2, 9, 2, 0, 1, 0, 0}, LeaseRequest{1, 2, 0, 0, 0, 1, 0, 0},
           LeaseRequest{1, 2, 0, 3, 0, 1, 0, 0}})  // no such plan, an empty set, one above the fleet
-        EXPECT_TRUE(gateway.handle(MessageArrived{1, pack({ask})}).empty());
-    EXPECT_TRUE(gateway.handle(MessageArrived{2, pack({LeaseRequest{}})}).empty());  // no such rank
-    EXPECT_TRUE(
-        gateway.handle(MessageArrived{1, pack({LeaseGrant{77, 50, 50, 0, 1}})}).empty());  // never asked for
-    for (const SlotRequest& request :
-         {SlotRequest{1, 2, 9, 2, 0, 1}, SlotRequest{1, 2, 0, 0, 0, 1}, SlotRequest{1, 2, 0, 3, 0, 1}})
-        EXPECT_TRUE(gateway.handle(MessageArrived{1, pack({request})}).empty());
-    EXPECT_TRUE(gateway.handle(MessageArrived{1, pack({SlotGrant{77, 2, 5, 0}})}).empty());
+        EXPECT_TRUE(gateway.handle(MessageArrived{1, encode({ask})}).empty());
+    EXPECT_TRUE(gateway.handle(MessageArrived{2, encode({LeaseRequest{}})}).empty());  // no such rank
+    EXPECT_TRUE(gateway.handle(MessageArrived{1, encode({LeaseGrant{77, 50, 50, 0, 1}})})
+                    .empty());  // never asked for
+    for (const PermitRequest& request :
+         {PermitRequest{1, 2, 9, 2, 0, 1}, PermitRequest{1, 2, 0, 0, 0, 1}, PermitRequest{1, 2, 0, 3, 0, 1}})
+        EXPECT_TRUE(gateway.handle(MessageArrived{1, encode({request})}).empty());
+    EXPECT_TRUE(gateway.handle(MessageArrived{1, encode({PermitGrant{77, 2, 5, 0}})}).empty());
     EXPECT_TRUE(gateway.handle(HealthCheckEnded{"gone", Outcome::success, 1ms, {}}).empty());
     EXPECT_TRUE(gateway.handle(HealthCheckEnded{"a", Outcome::timeout, 250ms, {}}).empty());
 }
--- a/tests/decision/lease_test.cpp
+++ b/tests/decision/lease_test.cpp
@@ -44,12 +44,12 @@
             const auto mail = actions_of<SendMessage>(std::exchange(out, {}));
             served += static_cast<int>(actions_of<SendAttempt>(more).size());
             for (const SendMessage& message : mail) {
-                const auto asks = unpack(message.bytes);
+                const auto asks = decode(message.bytes);
                 ASSERT_TRUE(asks);
                 const LeaseRequest& ask = std::get<LeaseRequest>(asks->at(0));
                 if (message.to == static_cast<int>(ask.customer % 8)) continue;
                 const auto got = gateway.handle(
-                    MessageArrived{message.to, pack({LeaseGrant{ask.nonce, ask.need, 0, 0, 1}})});
+                    MessageArrived{message.to, encode({LeaseGrant{ask.nonce, ask.required_units, 0, 0, 1}})});
                 served += static_cast<int>(actions_of<SendAttempt>(got).size());
                 for (const SendAttempt& attempt : actions_of<SendAttempt>(got))
                     gateway.end_attempt(attempt.id, attempt.host, Outcome::success, 5ms);
@@ -74,7 +74,7 @@
         gateway.request(2, 1, 2s, 0, 0, other, 3);
         gateway.advance(100ms);
         // Word on something else: the peer is there, though neither ask came through.
-        if (heard) gateway.handle(MessageArrived{static_cast<int>(at), pack({LeaseGrant{0, 0, 0, 0, 1}})});
+        if (heard) gateway.handle(MessageArrived{static_cast<int>(at), encode({LeaseGrant{0, 0, 0, 0, 1}})});
         gateway.advance(100ms);
         int elsewhere = 0;
         for (const SendMessage& message : actions_of<SendMessage>(gateway.actions))
@@ -90,14 +90,14 @@
     ClockedGateway gateway(settings);
     const auto asked = actions_of<SendMessage>(gateway.request(1, 1, 5s, 0, 0, "c", 2));
     ASSERT_EQ(asked.size(), 1u);
-    const auto nonce = std::get<LeaseRequest>(unpack(asked[0].bytes)->at(0)).nonce;
+    const auto nonce = std::get<LeaseRequest>(decode(asked[0].bytes)->at(0)).nonce;
     const auto timers = std::exchange(gateway.timers, {});
     gateway.now += 600ms;
     for (const auto& [at, token] : timers)
         if (at <= gateway.now) {
             EXPECT_TRUE(actions_of<SendMessage>(gateway.handle(TimerFired{token})).empty());
         }
-    const auto out = gateway.handle(MessageArrived{asked[0].to, pack({LeaseGrant{nonce, 1, 0, 0, 1}})});
+    const auto out = gateway.handle(MessageArrived{asked[0].to, encode({LeaseGrant{nonce, 1, 0, 0, 1}})});
     EXPECT_EQ(actions_of<SendAttempt>(out).size(), 1u);
 }
 
@@ -119,7 +119,7 @@
     const auto asked = actions_of<SendMessage>(gateway.request(1, 1, 5s, 0, 0, "c", 2));
     ASSERT_EQ(asked.size(), 1u);
     const std::string grant =
-        pack({LeaseGrant{std::get<LeaseRequest>(unpack(asked[0].bytes)->at(0)).nonce, 1, 0, 0, 1}});
+        encode({LeaseGrant{std::get<LeaseRequest>(decode(asked[0].bytes)->at(0)).nonce, 1, 0, 0, 1}});
     EXPECT_EQ(actions_of<SendAttempt>(gateway.handle(MessageArrived{asked[0].to, grant})).size(), 1u);
     EXPECT_TRUE(gateway.handle(MessageArrived{asked[0].to, grant}).empty());
     EXPECT_TRUE(actions_of<SendAttempt>(gateway.request(2, 1, 5s, 0, 0, "c", 2))
@@ -136,11 +136,11 @@
         asked.push_back(message);
     ASSERT_EQ(asked.size(), 2u);
     const auto nonce = [&](std::size_t i) {
-        return std::get<LeaseRequest>(unpack(asked[i].bytes)->at(0)).nonce;
+        return std::get<LeaseRequest>(decode(asked[i].bytes)->at(0)).nonce;
     };
-    const auto answer = [&](std::size_t i, double units, std::uint32_t wait_ms) {
+    const auto answer = [&](std::size_t i, double units, std::uint32_t retry_after_ms) {
         return gateway.handle(
-            MessageArrived{asked[i].to, pack({LeaseGrant{nonce(i), units, 0, wait_ms, 1}})});
+            MessageArrived{asked[i].to, encode({LeaseGrant{nonce(i), units, 0, retry_after_ms, 1}})});
     };
     const auto in = actions_of<SendAttempt>(answer(0, 1, 0));
     ASSERT_EQ(in.size(), 1u);
@@ -159,14 +159,14 @@
     ClockedGateway gateway(settings);  // 2 units a second, burst 4, of which a fresh home has half
     const auto ask = [&](int from, double need) {
         const LeaseRequest asked{7, name_hash("c"), 0, 3, 0, need, 0, 0};
-        const auto mail = actions_of<SendMessage>(gateway.handle(MessageArrived{from, pack({asked})}));
+        const auto mail = actions_of<SendMessage>(gateway.handle(MessageArrived{from, encode({asked})}));
         EXPECT_EQ(mail.size(), 1u);
-        return std::get<LeaseGrant>(unpack(mail.at(0).bytes)->at(0));
+        return std::get<LeaseGrant>(decode(mail.at(0).bytes)->at(0));
     };
     const int one = (settings.rank + 1) % 3, other = (settings.rank + 2) % 3;
     EXPECT_EQ(ask(one, 2).units, 2);
-    EXPECT_NEAR(ask(one, 1).wait_ms, 500, 2);
-    EXPECT_NEAR(ask(other, 1).wait_ms, 1000, 2);
+    EXPECT_NEAR(ask(one, 1).retry_after_ms, 500, 2);
+    EXPECT_NEAR(ask(other, 1).retry_after_ms, 1000, 2);
     gateway.advance(501ms);
     EXPECT_EQ(ask(one, 1).units, 1);
     gateway.advance(500ms);
@@ -183,9 +183,9 @@
     EXPECT_EQ(actions_of<SendAttempt>(grant_lease(gateway, asked[0], 1)).size(), 1u);
     asked = actions_of<SendMessage>(gateway.advance(120ms));
     ASSERT_EQ(asked.size(), 1u);
-    const LeaseRequest ahead = std::get<LeaseRequest>(unpack(asked[0].bytes)->at(0));
-    EXPECT_EQ(ahead.need, 0);
-    EXPECT_GE(ahead.extra, 1);
+    const LeaseRequest ahead = std::get<LeaseRequest>(decode(asked[0].bytes)->at(0));
+    EXPECT_EQ(ahead.required_units, 0);
+    EXPECT_GE(ahead.prefetch_units, 1);
     // One that comes before the grant leaves with it, the next has its units here.
     EXPECT_TRUE(actions_of<SendAttempt>(gateway.request(2, 1, 2s, 0, 0, "c", 2)).empty());
     EXPECT_EQ(actions_of<SendAttempt>(grant_lease(gateway, asked[0], 2)).size(), 1u);
@@ -207,7 +207,7 @@
         if (asked.empty()) return most;
         EXPECT_EQ(actions_of<SendAttempt>(grant_lease(gateway, asked[0], 1)).size(), 1u);
         for (const SendMessage& message : actions_of<SendMessage>(gateway.advance(1s)))
-            most = std::max(most, std::get<LeaseRequest>(unpack(message.bytes)->at(0)).extra);
+            most = std::max(most, std::get<LeaseRequest>(decode(message.bytes)->at(0)).prefetch_units);
         return most;
     };
     const double burst = settings.plans[0].burst;  // 4
@@ -230,7 +230,7 @@
     EXPECT_TRUE(actions_of<SendMessage>(grant_lease(gateway, asked[0], 1)).empty());
     const auto urgent = actions_of<SendMessage>(gateway.request(2, 1, 2s, 0, 0, other, 2));
     ASSERT_EQ(urgent.size(), 1u);
-    EXPECT_EQ(unpack(urgent[0].bytes)->size(), 2u);
+    EXPECT_EQ(decode(urgent[0].bytes)->size(), 2u);
 }
 
 // A request does not wait for a grant asked ahead: its own ask goes out, and the line moves with either.
@@ -249,11 +249,11 @@
         const int peer = static_cast<int>(nonce % 8), from = peer < settings.rank ? peer : peer + 1;
         asked[nonce] = gateway.now;
         auto out = gateway.handle(
-            MessageArrived{from, pack({LeaseRequest{nonce, name_hash("c"), 0, 9, 0, 1, 0, 0}})});
+            MessageArrived{from, encode({LeaseRequest{nonce, name_hash("c"), 0, 9, 0, 1, 0, 0}})});
         const auto later = gateway.advance(25ms);
         out.insert(out.end(), later.begin(), later.end());
         for (const SendMessage& message : actions_of<SendMessage>(out)) {
-            const auto granted = unpack(message.bytes);
+            const auto granted = decode(message.bytes);
             for (const PeerMessage& peer_message : *granted)
                 in_time += gateway.now - asked[std::get<LeaseGrant>(peer_message).nonce] <= 300ms;
         }
@@ -272,7 +272,7 @@
     ClockedGateway gateway(settings);
     const auto talk = [&] {  // twenty peers talk, more than this gateway takes in
         for (std::uint32_t i = 0; i < 20; ++i) {
-            gateway.handle(MessageArrived{60 + static_cast<int>(i), pack({LeaseGrant{1, 0, 0, 0, 1}})});
+            gateway.handle(MessageArrived{60 + static_cast<int>(i), encode({LeaseGrant{1, 0, 0, 0, 1}})});
             gateway.advance(20ms);
         }
     };
@@ -307,7 +307,7 @@
     ASSERT_EQ(ahead.size(), 1u);
     const auto own = actions_of<SendMessage>(gateway.request(2, 1, 2s, 0, 0, "c", 2));
     ASSERT_EQ(own.size(), 1u);
-    EXPECT_NEAR(std::get<LeaseRequest>(unpack(own[0].bytes)->at(0)).need, 1, 1e-9);
+    EXPECT_NEAR(std::get<LeaseRequest>(decode(own[0].bytes)->at(0)).required_units, 1, 1e-9);
     const auto little = grant_lease(gateway, ahead[0], 0.25);
     EXPECT_TRUE(actions_of<RejectRequest>(little).empty());
     EXPECT_TRUE(actions_of<SendAttempt>(little).empty());
@@ -323,8 +323,8 @@
     const auto again = actions_of<SendMessage>(gateway.advance(200ms));
     ASSERT_EQ(again.size(), 1u);
     const auto say = [&](const SendMessage& to, LeaseGrant given) {
-        given.nonce = std::get<LeaseRequest>(unpack(to.bytes)->at(0)).nonce;
-        return gateway.handle(MessageArrived{to.to, pack({given})});
+        given.nonce = std::get<LeaseRequest>(decode(to.bytes)->at(0)).nonce;
+        return gateway.handle(MessageArrived{to.to, encode({given})});
     };
     EXPECT_TRUE(actions_of<RejectRequest>(say(asked[0], LeaseGrant{0, 0, 0, 400, 1})).empty());
     EXPECT_EQ(actions_of<SendAttempt>(say(again[0], LeaseGrant{0, 1, 0, 0, 1})).size(), 1u);
--- a/tests/decision/request_rules_test.cpp
+++ b/tests/decision/request_rules_test.cpp
@@ -52,11 +52,11 @@
 TEST_F(RuleGuardTest, AnUnsafeRequestIsRepeatedOnlyWhenItNeverRan) {
     EXPECT_EQ(begin(unsafe, 0, "a1"), SendVerdict::allowed);
     end(unsafe, 0, Outcome::rejected);
-    EXPECT_TRUE(guard.may_refuse(id(unsafe)));
+    EXPECT_TRUE(guard.may_reject(id(unsafe)));
     EXPECT_EQ(begin(unsafe, 1, "a2"), SendVerdict::allowed);
     end(unsafe, 1, Outcome::reset);
     EXPECT_EQ(begin(unsafe, 2, "a2"), SendVerdict::may_have_run);
-    EXPECT_FALSE(guard.may_refuse(id(unsafe)));
+    EXPECT_FALSE(guard.may_reject(id(unsafe)));
     EXPECT_EQ(guard.violations().total(), 2u);
 }
 
@@ -66,10 +66,10 @@
     EXPECT_EQ(begin(keyed_by_zone, 1, "b1"), SendVerdict::outside_deduplication_scope);
     EXPECT_EQ(begin(keyed_by_zone, 2, "a2"), SendVerdict::allowed);
     end(keyed_by_zone, 2, Outcome::connect_failed);
-    EXPECT_FALSE(guard.may_refuse(id(keyed_by_zone)));
+    EXPECT_FALSE(guard.may_reject(id(keyed_by_zone)));
     EXPECT_EQ(begin(keyed, 0, "a1"), SendVerdict::allowed);
     end(keyed, 0, Outcome::cancelled);
-    EXPECT_TRUE(guard.may_refuse(id(keyed)));
+    EXPECT_TRUE(guard.may_reject(id(keyed)));
     now += 900ms;  // a connection that is late would bring the repeat when the window is over
     EXPECT_EQ(begin(keyed, 1, "b1"), SendVerdict::outside_deduplication_window);
 }
@@ -97,7 +97,7 @@
     guard.host_banned({"a2", false});
     const std::uint64_t faults = guard.violations().total();
     EXPECT_EQ(begin(safe, 0, "a2"), SendVerdict::allowed);
-    guard.client_left(id(safe));
+    guard.client_disconnected(id(safe));
     EXPECT_EQ(begin(safe, 1, "a2"), SendVerdict::already_completed);
     guard.answered(id(keyed), now);
     EXPECT_EQ(begin(keyed, 0, "a2"), SendVerdict::already_completed);
--- a/tests/decision/snapshot_compatibility_test.cpp
+++ b/tests/decision/snapshot_compatibility_test.cpp
@@ -298,13 +298,13 @@
         request.customer = name_hash("shared");
         request.plan = metered;
         request.set_size = 2;
-        request.need = 2;
-        const auto replies = actions_of<SendMessage>(process.handle(MessageArrived{1, pack({request})}));
-        return replies.size() == 1 ? std::get<LeaseGrant>(unpack(replies[0].bytes)->at(0)) : LeaseGrant{};
+        request.required_units = 2;
+        const auto replies = actions_of<SendMessage>(process.handle(MessageArrived{1, encode({request})}));
+        return replies.size() == 1 ? std::get<LeaseGrant>(decode(replies[0].bytes)->at(0)) : LeaseGrant{};
     };
     EXPECT_EQ(grant_to_peer(started_anew).units, 2);
     const LeaseGrant second = grant_to_peer(restored);
     EXPECT_EQ(second.nonce, 11u);
     EXPECT_EQ(second.units, 0);
-    EXPECT_GT(second.wait_ms, 0u);
+    EXPECT_GT(second.retry_after_ms, 0u);
 }
--- a/tests/decision/unit/concurrency_permits_test.cpp
+++ b/tests/decision/unit/concurrency_permits_test.cpp
@@ -76,18 +76,18 @@
     PermitModules holder(1);
     holder.lend(near_peer, 11, 1);
     ASSERT_EQ(holder.event.sent_to_peers<PermitGrant>().size(), 1u);
-    EXPECT_EQ(holder.event.sent_to_peers<PermitGrant>()[0].held, 1);
+    EXPECT_EQ(holder.event.sent_to_peers<PermitGrant>()[0].granted, 1);
 
     holder.lend(far_peer, 21, 1);
     ASSERT_EQ(holder.event.sent_to_peers<PermitGrant>().size(), 1u);
-    EXPECT_EQ(holder.event.sent_to_peers<PermitGrant>()[0].held, 0);
-    EXPECT_EQ(holder.event.sent_to_peers<PermitGrant>()[0].in_line, 1);
+    EXPECT_EQ(holder.event.sent_to_peers<PermitGrant>()[0].granted, 0);
+    EXPECT_EQ(holder.event.sent_to_peers<PermitGrant>()[0].queue_length, 1);
 
     holder.lend(near_peer, 13, 0);
     ASSERT_EQ(holder.event.sent_to_peers<PermitGrant>().size(), 1u);
     EXPECT_EQ(holder.event.emitted<SendMessage>()[0].to, far_peer);
     EXPECT_EQ(holder.event.sent_to_peers<PermitGrant>()[0].nonce, 21u);
-    EXPECT_EQ(holder.event.sent_to_peers<PermitGrant>()[0].held, 1);
+    EXPECT_EQ(holder.event.sent_to_peers<PermitGrant>()[0].granted, 1);
 }
 
 TEST(ConcurrencyPermits, ARequestThatALaterOneHasOvertakenIsIgnored) {
@@ -105,9 +105,9 @@
     holder.lend(near_peer, 11, 1);
 
     holder.event.advance(1s - 1us);
-    EXPECT_EQ(holder.lend(own_rank, 3, 1)->held, 0);
+    EXPECT_EQ(holder.lend(own_rank, 3, 1)->granted, 0);
     holder.event.advance(1us);
-    EXPECT_EQ(holder.lend(own_rank, 5, 1)->held, 1);
+    EXPECT_EQ(holder.lend(own_rank, 5, 1)->granted, 1);
 }
 
 TEST(ConcurrencyPermits, AGrantCountsForItsLatestRequestAndASecondFromThatOn) {
--- a/tests/decision/unit/event_context.h
+++ b/tests/decision/unit/event_context.h
@@ -53,7 +53,7 @@
     [[nodiscard]] std::vector<Message> sent_to_peers() const {
         std::vector<Message> of_kind;
         for (const SendMessage& sent : emitted<SendMessage>()) {
-            const std::vector<PeerMessage> messages = unpack(sent.bytes).value();
+            const std::vector<PeerMessage> messages = decode(sent.bytes).value();
             for (const PeerMessage& message : messages)
                 if (const auto* found = std::get_if<Message>(&message)) of_kind.push_back(*found);
         }
--- a/tests/decision/unit/peer_messenger_test.cpp
+++ b/tests/decision/unit/peer_messenger_test.cpp
@@ -83,7 +83,7 @@
 
     EXPECT_FALSE(messenger.receive(message_of("no message")));
     EXPECT_TRUE(messenger.is_silent(peer));
-    const auto messages = messenger.receive(message_of(pack({LeaseGrant{}})));
+    const auto messages = messenger.receive(message_of(encode({LeaseGrant{}})));
     ASSERT_TRUE(messages);
     EXPECT_EQ(messages->size(), 1u);
     EXPECT_FALSE(messenger.is_silent(peer));
--- a/tests/decision/unit/quota_leases_test.cpp
+++ b/tests/decision/unit/quota_leases_test.cpp
@@ -43,7 +43,7 @@
         LeaseGrant grant;
         grant.nonce = nonce;
         grant.units = units;
-        grant.hard = hard;
+        grant.ceiling_units = hard;
         return grant;
     }
 
@@ -65,9 +65,9 @@
     ASSERT_EQ(sent.size(), 1u);
     EXPECT_EQ(event.emitted<SendMessage>().front().to, holder_rank);
     EXPECT_EQ(sent[0].nonce, nonce);
-    EXPECT_DOUBLE_EQ(sent[0].need, 2);
-    EXPECT_DOUBLE_EQ(sent[0].extra, 0);
-    EXPECT_DOUBLE_EQ(sent[0].hard, 0);
+    EXPECT_DOUBLE_EQ(sent[0].required_units, 2);
+    EXPECT_DOUBLE_EQ(sent[0].prefetch_units, 0);
+    EXPECT_DOUBLE_EQ(sent[0].ceiling_units, 0);
     const SetTimer timer = event.emitted<SetTimer>().back();
     EXPECT_EQ(timer.from_now, 150ms);
     EXPECT_EQ(read_timer_token(timer.token).kind, TimerKind::lease_request);
@@ -106,11 +106,11 @@
     customer.plan = ceiling_plan;
     const std::uint32_t in_time = acquire_from_peer(3);
     event.advance(300ms);
-    EXPECT_DOUBLE_EQ(leases.accept(holder_rank, grant_of(in_time, 0, 3))->grant.hard, 3);
+    EXPECT_DOUBLE_EQ(leases.accept(holder_rank, grant_of(in_time, 0, 3))->grant.ceiling_units, 3);
 
     const std::uint32_t late = acquire_from_peer(3);
     event.advance(300ms + 1us);
-    EXPECT_DOUBLE_EQ(leases.accept(holder_rank, grant_of(late, 0, 3))->grant.hard, 0);
+    EXPECT_DOUBLE_EQ(leases.accept(holder_rank, grant_of(late, 0, 3))->grant.ceiling_units, 0);
 }
 
 TEST_F(QuotaLeasesTest, AnOverdueGrantIsStillAcceptedUntilTheRequestIsForgotten) {
@@ -156,8 +156,8 @@
     messenger.on_flush_timer(holder_rank);
     const auto sent = event.sent_to_peers<LeaseRequest>();
     ASSERT_EQ(sent.size(), 1u);
-    EXPECT_DOUBLE_EQ(sent[0].need, 0);
-    EXPECT_DOUBLE_EQ(sent[0].extra, 6) << "three times the request's units";
+    EXPECT_DOUBLE_EQ(sent[0].required_units, 0);
+    EXPECT_DOUBLE_EQ(sent[0].prefetch_units, 6) << "three times the request's units";
     const auto accepted = leases.accept(holder_rank, grant_of(sent[0].nonce, 6));
     ASSERT_TRUE(accepted);
     EXPECT_FALSE(accepted->for_waiting);
@@ -167,7 +167,7 @@
 TEST_F(QuotaLeasesTest, AnExhaustedHolderIsKnownUntilItsWaitIsOverForRequestsAsLarge) {
     EXPECT_EQ(leases.mark_exhausted(customer, LeaseGrant{}), 150ms) << "a lease request's timeout at least";
     LeaseGrant refusal;
-    refusal.wait_ms = 2000;
+    refusal.retry_after_ms = 2000;
     EXPECT_EQ(leases.mark_exhausted(customer, refusal), 2s);
     QuotaLeases::record_turned_down(customer, 5);
 
--- a/tests/decision/unit/quota_ledger_test.cpp
+++ b/tests/decision/unit/quota_ledger_test.cpp
@@ -28,9 +28,9 @@
         request.nonce = 77;
         request.customer = customer_hash;
         request.set_size = 4;
-        request.need = need;
-        request.extra = extra;
-        request.hard = hard;
+        request.required_units = need;
+        request.prefetch_units = extra;
+        request.ceiling_units = hard;
         return request;
     }
 
@@ -42,11 +42,11 @@
     const LeaseGrant first = ledger.grant(request_for(initial_units));
     EXPECT_EQ(first.nonce, 77u);
     EXPECT_DOUBLE_EQ(first.units, initial_units);
-    EXPECT_EQ(first.wait_ms, 0u);
+    EXPECT_EQ(first.retry_after_ms, 0u);
 
     const LeaseGrant second = ledger.grant(request_for(1));
     EXPECT_DOUBLE_EQ(second.units, 0);
-    EXPECT_EQ(second.wait_ms, 101u) << "0.1 s for a unit, and a millisecond against rounding";
+    EXPECT_EQ(second.retry_after_ms, 101u) << "0.1 s for a unit, and a millisecond against rounding";
 }
 
 TEST_F(QuotaLedgerTest, AtMostHalfOfTheRestIsGrantedForPrefetching) {
@@ -55,22 +55,23 @@
 }
 
 TEST_F(QuotaLedgerTest, GatewaysThatAreTurnedDownWaitInTurnAndForAMinuteAtMost) {
-    EXPECT_EQ(ledger.grant(request_for(initial_units + 10)).wait_ms, 1'001u);
-    EXPECT_EQ(ledger.grant(request_for(initial_units + 10)).wait_ms, 7'001u) << "6 s more for its own units";
-    EXPECT_EQ(ledger.grant(request_for(10'000)).wait_ms, 60'001u);
+    EXPECT_EQ(ledger.grant(request_for(initial_units + 10)).retry_after_ms, 1'001u);
+    EXPECT_EQ(ledger.grant(request_for(initial_units + 10)).retry_after_ms, 7'001u)
+        << "6 s more for its own units";
+    EXPECT_EQ(ledger.grant(request_for(10'000)).retry_after_ms, 60'001u);
 }
 
 TEST_F(QuotaLedgerTest, TheHolderGrantsFromItsShareOfTheCeiling) {
     // A new ledger has nothing of the ceiling. Documents the behaviour as it is: the wait is that of the
     // whole ceiling rate, while the holder's share refills at half of it.
     const LeaseGrant too_early = ledger.grant(request_for(0, 0, 1));
-    EXPECT_DOUBLE_EQ(too_early.hard, 0);
-    EXPECT_EQ(too_early.wait_ms, 51u);
+    EXPECT_DOUBLE_EQ(too_early.ceiling_units, 0);
+    EXPECT_EQ(too_early.retry_after_ms, 51u);
 
     holder.advance(1h);
     const double full_share = 20;
-    EXPECT_GT(ledger.grant(request_for(0, 0, full_share + 1)).wait_ms, 0u);
-    EXPECT_DOUBLE_EQ(ledger.grant(request_for(0, 0, full_share)).hard, full_share);
+    EXPECT_GT(ledger.grant(request_for(0, 0, full_share + 1)).retry_after_ms, 0u);
+    EXPECT_DOUBLE_EQ(ledger.grant(request_for(0, 0, full_share)).ceiling_units, full_share);
 }
 
 TEST_F(QuotaLedgerTest, AFallbackHolderKeepsHalfOfTheBurstAndNothingOfTheCeiling) {
@@ -78,8 +79,8 @@
     QuotaLedger fallback_ledger(fallback.context);
     fallback.advance(1h);
 
-    EXPECT_GT(fallback_ledger.grant(request_for(initial_units + 1)).wait_ms, 0u);
-    EXPECT_GT(fallback_ledger.grant(request_for(0, 0, 1)).wait_ms, 0u);
+    EXPECT_GT(fallback_ledger.grant(request_for(initial_units + 1)).retry_after_ms, 0u);
+    EXPECT_GT(fallback_ledger.grant(request_for(0, 0, 1)).retry_after_ms, 0u);
     EXPECT_DOUBLE_EQ(fallback_ledger.grant(request_for(initial_units)).units, initial_units);
 }
 
--- a/tests/server/client_request_reader_test.cpp
+++ b/tests/server/client_request_reader_test.cpp
@@ -65,7 +65,7 @@
 
 TEST_F(ClientRequestReaderTest, EachErrorHasItsStatus) {
     EXPECT_EQ(rejection("no request\r\n\r\n"), http::status::bad_request);
-    EXPECT_EQ(rejection("GET / HTTP/1.1\r\nX: " + std::string(most_header, 'x')),
+    EXPECT_EQ(rejection("GET / HTTP/1.1\r\nX: " + std::string(max_header_bytes, 'x')),
               http::status::request_header_fields_too_large);
     EXPECT_EQ(rejection("POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"), http::status::payload_too_large);
     EXPECT_EQ(rejection("POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n"), http::status::bad_request);
@@ -75,7 +75,7 @@
 TEST_F(ClientRequestReaderTest, ReservesTheBytesOfABodyUntilTheRequestEnds) {
     const std::string header = "POST / HTTP/1.1\r\nContent-Length: 60000\r\n\r\n";
     EXPECT_FALSE(parse(header).error);
-    EXPECT_EQ(budget.held(), 60'000u);
+    EXPECT_EQ(budget.in_use(), 60'000u);
     ClientRequestReader second(budget);
     ASSERT_TRUE(second.append(header));
     second.start();
@@ -83,12 +83,12 @@
     ASSERT_TRUE(progress.error);
     EXPECT_EQ(progress.error->status, http::status::service_unavailable);
     reader.abort();
-    EXPECT_EQ(budget.held(), 0u);
+    EXPECT_EQ(budget.in_use(), 0u);
 }
 
 TEST_F(ClientRequestReaderTest, ASmallBodyReservesNothing) {
     EXPECT_FALSE(parse("POST / HTTP/1.1\r\nContent-Length: 4096\r\n\r\n").error);
-    EXPECT_EQ(budget.held(), 0u);
+    EXPECT_EQ(budget.in_use(), 0u);
 }
 
 TEST_F(ClientRequestReaderTest, KnowsWhichClientWaitsForContinue) {
--- a/tests/server/gateway_test.cpp
+++ b/tests/server/gateway_test.cpp
@@ -74,10 +74,10 @@
         return gateway().metrics().find(line) != std::string::npos;
     };
     EXPECT_TRUE(run_until(io, [&] {
-        return tells("api_gateway_client_connections_closed_total{cause=\"closed_by_client\"} 1\n");
+        return tells("api_gateway_client_connections_closed_total{reason=\"closed_by_client\"} 1\n");
     }));
     EXPECT_TRUE(tells("api_gateway_requests_total 6\n"));
-    EXPECT_TRUE(tells("api_gateway_refusals_total{cause=\"over_quota\"} 5\n")) << gateway().metrics();
+    EXPECT_TRUE(tells("api_gateway_rejections_total{reason=\"over_quota\"} 5\n")) << gateway().metrics();
     EXPECT_TRUE(tells("api_gateway_attempts_ended_total{outcome=\"success\"} 1\n")) << gateway().metrics();
     EXPECT_TRUE(tells("api_gateway_rule_violations_total 0\n"));
 }
--- a/tests/server/host_pool_test.cpp
+++ b/tests/server/host_pool_test.cpp
@@ -307,7 +307,7 @@
     send(1);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
     host.peers[0]->close();
-    ASSERT_TRUE(run_until(io, [&] { return budget.held(SocketBudget::Side::host) == 0; }));
+    ASSERT_TRUE(run_until(io, [&] { return budget.in_use(SocketBudget::Side::host) == 0; }));
     send(2);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 2; }));
     EXPECT_EQ(results[1].result.outcome, HostOutcome::success);
@@ -321,7 +321,7 @@
     send(1);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
     ASSERT_TRUE(run_until(io, [&] { return host.peers[0]->closed; }));
-    EXPECT_EQ(budget.held(SocketBudget::Side::host), 0u);
+    EXPECT_EQ(budget.in_use(SocketBudget::Side::host), 0u);
 }
 
 // The response to the abandoned attempt would be taken for that to the next request.
@@ -363,7 +363,7 @@
     send(1);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
     pool().update({2, true, {}});
-    EXPECT_EQ(budget.held(SocketBudget::Side::host), 0u);
+    EXPECT_EQ(budget.in_use(SocketBudget::Side::host), 0u);
     send(2);
     ASSERT_EQ(results.size(), 2u);
     EXPECT_EQ(results[1].result.outcome, HostOutcome::connect_failed);
--- a/tests/server/shutdown_test.cpp
+++ b/tests/server/shutdown_test.cpp
@@ -38,13 +38,13 @@
     Client first(io, server.local_endpoint()), second(io, server.local_endpoint());
     first.say(request("a"));
     second.say(request("b"));
-    EXPECT_TRUE(server.take_rest());
-    EXPECT_FALSE(server.take_rest());
+    EXPECT_TRUE(server.accept_backlog());
+    EXPECT_FALSE(server.accept_backlog());
     ASSERT_TRUE(run_until(io, [&] { return taken.size() == 2; }));
-    EXPECT_FALSE(server.quiet());
+    EXPECT_FALSE(server.is_idle());
     for (const ClientRequest& r : taken) server.answer(r.id, make_answer(http::status::ok, "last"));
     ASSERT_TRUE(answered(first) && answered(second));
-    EXPECT_TRUE(server.quiet());
+    EXPECT_TRUE(server.is_idle());
 }
 
 // The end looks for what is open between two turns of the loop, and a request may lie in the kernel by then.
@@ -56,13 +56,13 @@
          [] { return true; }});
     server.open();
     Client client(io, server.local_endpoint());
-    ASSERT_TRUE(run_until(io, [&] { return places.held(SocketBudget::Side::client) == 1; }));
+    ASSERT_TRUE(run_until(io, [&] { return places.in_use(SocketBudget::Side::client) == 1; }));
     server.drain();
-    EXPECT_TRUE(server.quiet());
+    EXPECT_TRUE(server.is_idle());
     client.say(request("a"));
-    EXPECT_FALSE(server.quiet());
+    EXPECT_FALSE(server.is_idle());
     ASSERT_TRUE(answered(client));
-    EXPECT_TRUE(server.quiet());
+    EXPECT_TRUE(server.is_idle());
 }
 
 // Found in the code: between the look at a resting connection and its close a request may come, and the close
@@ -92,7 +92,7 @@
     EXPECT_EQ(end, asio::error::eof);
     EXPECT_NE(heard.find("last"), std::string::npos);
     client.close();
-    ASSERT_TRUE(run_until(io, [&] { return places.held(SocketBudget::Side::client) == 0; }));
+    ASSERT_TRUE(run_until(io, [&] { return places.in_use(SocketBudget::Side::client) == 0; }));
     EXPECT_EQ(taken, 1) << "what came behind the end was served";
 }
 
@@ -117,7 +117,7 @@
     ASSERT_TRUE(starts());
     Client half(io, address());
     half.say("GET / HTTP/1.1\r\n");
-    ASSERT_TRUE(run_until(io, [&] { return budget->held(SocketBudget::Side::client) == 1; }));
+    ASSERT_TRUE(run_until(io, [&] { return budget->granted(SocketBudget::Side::client) == 1; }));
     bool done = false;
     gateway().drain([&] { done = true; });
     EXPECT_TRUE(run_until(io, [&] { return done; }));
--- a/tests/server/system_call_test.cpp
+++ b/tests/server/system_call_test.cpp
@@ -121,21 +121,21 @@
     tcp::socket client(io);
     client.connect(server.local_endpoint());
     const FailingCalls failing(SocketCall::accept, {ENFILE});
-    EXPECT_TRUE(server.take_rest());  // one is still in the backlog
-    EXPECT_TRUE(server.take_rest());  // and is accepted now
-    EXPECT_FALSE(server.take_rest());
+    EXPECT_TRUE(server.accept_backlog());  // one is still in the backlog
+    EXPECT_TRUE(server.accept_backlog());  // and is accepted now
+    EXPECT_FALSE(server.accept_backlog());
 }
 
 // Without a free descriptor, the connection in the backlog would wake the loop over and over.
 TEST(FailingAccepts, TheWaitForTheNextProcessIsNoBusyLoop) {
     asio::io_context io;
     const std::filesystem::path folder = Program::make_folder();
-    HandoverPlace place(io, folder.string(), "x");
+    HandoverSocket place(io, folder.string(), "x");
     bool connected = false;
     place.wait([&](std::shared_ptr<HandoverChannel>) { connected = true; });
     const FailingCalls failing(SocketCall::accept,
                                {EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE});
-    const auto next_process = HandoverPlace(io, folder.string(), "x").find();
+    const auto next_process = HandoverSocket(io, folder.string(), "x").find();
     ASSERT_NE(next_process, nullptr);
     const auto until = std::chrono::steady_clock::now() + 30ms;
     ASSERT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() >= until; }));
