--- a/bench/scale/fleet.cpp
+++ b/bench/scale/fleet.cpp
@@ -36,7 +36,7 @@
 Fleet::SimulatedGateway::SimulatedGateway(int rank, int instances, std::uint64_t seed, Micros now)
     : module(module_settings(rank, instances), seed, now) {}
 
-Fleet::Fleet(const FleetSweep& sweep, int gateways, std::uint64_t seed) : sweep_(sweep), random_(seed) {
+Fleet::Fleet(FleetSweep sweep, int gateways, std::uint64_t seed) : sweep_(std::move(sweep)), random_(seed) {
     const HostsChanged list = complete_host_list();
     for (int rank = 0; rank < gateways; ++rank) {
         gateways_.push_back(std::make_unique<SimulatedGateway>(rank, gateways, random_(), now_));
--- a/bench/scale/fleet.h
+++ b/bench/scale/fleet.h
@@ -26,7 +26,7 @@
 class Fleet {
   public:
     // The gateways get the complete list of hosts; requests begin with run_for().
-    Fleet(const FleetSweep& sweep, int gateways, std::uint64_t seed);
+    Fleet(FleetSweep sweep, int gateways, std::uint64_t seed);
 
     // Runs the fleet for so many seconds of its own clock.
     void run_for(double seconds);
--- a/src/server/discovery.cpp
+++ b/src/server/discovery.cpp
@@ -66,9 +66,9 @@
     return timing;
 }
 
-Discovery::Discovery(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& agent, OnList on_list,
+Discovery::Discovery(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint agent, OnList on_list,
                      WatchTiming timing, std::uint64_t seed, std::optional<std::int64_t> known_version)
-    : agent_(agent),
+    : agent_(std::move(agent)),
       on_list_(std::move(on_list)),
       timing_(timing),
       random_(static_cast<std::uint32_t>(seed ^ seed >> 32)),
--- a/src/server/discovery.h
+++ b/src/server/discovery.h
@@ -46,7 +46,7 @@
                                                 std::chrono::microseconds max_poll_interval = {});
 
     // `known_version`: of the list that the gateway has already; none: the complete list is polled first.
-    Discovery(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& agent, OnList on_list,
+    Discovery(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint agent, OnList on_list,
               WatchTiming timing = {}, std::uint64_t seed = 1,
               std::optional<std::int64_t> known_version = {});
     // Uses another agent from now on and polls it for the complete list first, because its versions are not
--- a/src/server/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -85,7 +85,7 @@
         if (!host) host = std::make_shared<PooledHost>();
         host->uid = listed.uid;
         host->listed_ready = listed.state == EndpointState::ready;
-        host->banned = banned_.count(listed.uid) > 0;
+        host->banned = banned_.contains(listed.uid);
         if (listed.state != EndpointState::gone) host->endpoint = listed.address;
     }
     end_requests_to_unavailable_hosts();
@@ -163,7 +163,7 @@
     const auto idle_before = Steady::now() - min_idle_time_;
     for (auto position = idle.size(); position-- > 0;) {
         if (!idle[position]->idle_since_before(idle_before)) continue;
-        const auto candidate = std::move(idle[position]);
+        auto candidate = std::move(idle[position]);
         idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(position));
         if (candidate->silent()) return candidate;
         candidate->close(HostCloseReason::closed_by_host);
--- a/src/server/host_pool.h
+++ b/src/server/host_pool.h
@@ -94,7 +94,7 @@
     void on_response_piece(const AttemptKey& key, std::string&& piece) override;
 
     void end_requests_to_unavailable_hosts();
-    void close_unusable_idle(PooledHost& host);
+    static void close_unusable_idle(PooledHost& host);
     template <class Predicate>
     void end_unsent(HostOutcome outcome, Predicate predicate);
     ConnectionPointer connection_of(const AttemptKey& key) const;
--- a/src/server/in_flight_requests.cpp
+++ b/src/server/in_flight_requests.cpp
@@ -16,7 +16,7 @@
 }
 
 bool InFlightRequests::contains_trace_id(std::string_view trace_id) const {
-    return trace_ids_.count(trace_id) > 0;
+    return trace_ids_.contains(trace_id);
 }
 
 void InFlightRequests::erase(decision::RequestId id) {
--- a/src/server/known_names.h
+++ b/src/server/known_names.h
@@ -32,7 +32,7 @@
     // After a complete list: all other hosts are gone.
     void only(const std::unordered_set<std::string_view>& listed_names, Steady::time_point now) {
         for (auto& [name, gone_at] : gone_at_) {
-            if (gone_at != still_listed || listed_names.count(name) > 0) continue;
+            if (gone_at != still_listed || listed_names.contains(name)) continue;
             gone_at = now;
             gone_in_order_.push_back({now, name});
         }
@@ -46,7 +46,7 @@
             const auto known = gone_at_.find(host.name);
             const bool listed_since = known == gone_at_.end() || known->second != host.gone_at;
             if (listed_since) continue;
-            if (banned.count(host.name) == 0) {
+            if (!banned.contains(host.name)) {
                 gone_at_.erase(known);
                 continue;
             }
@@ -54,7 +54,7 @@
             gone_in_order_.push_back({now, host.name});
         }
     }
-    [[nodiscard]] bool contains(const std::string& name) const { return gone_at_.count(name) > 0; }
+    [[nodiscard]] bool contains(const std::string& name) const { return gone_at_.contains(name); }
     [[nodiscard]] std::size_t size() const noexcept { return gone_at_.size(); }
     [[nodiscard]] std::vector<std::string> all() const {
         std::vector<std::string> names;
--- a/src/server/log.cpp
+++ b/src/server/log.cpp
@@ -74,13 +74,14 @@
 }
 
 bool needs_quotes(std::string_view text) {
-    return text.empty() ||
-           std::any_of(text.begin(), text.end(), [](char c) { return c <= ' ' || c == '"' || c == '='; });
+    return text.empty() || std::any_of(text.begin(), text.end(), [](char character) {
+               return character <= ' ' || character == '"' || character == '=';
+           });
 }
 }  // namespace
 
 void set_log_level(const char* name) {
-    const auto found =
+    const auto* const found =
         std::find(level_names.begin(), level_names.end(), name != nullptr ? name : default_level);
     if (found == level_names.end()) return;
     the_log().logger.set_level(level_of(static_cast<LogLevel>(found - level_names.begin())));
@@ -110,9 +111,9 @@
         return *this;
     }
     std::string quoted = "\"";
-    for (const char c : text) {
-        if (c == '"' || c == '\\') quoted += '\\';
-        quoted += c < ' ' ? '?' : c;
+    for (const char character : text) {
+        if (character == '"' || character == '\\') quoted += '\\';
+        quoted += character < ' ' ? '?' : character;
     }
     quoted += '"';
     add(key, quoted);
@@ -121,7 +122,7 @@
 LogLine& LogLine::with(std::string_view key, std::int64_t number) {
     if (!enabled_) return *this;
     char text[24];
-    const auto end = std::to_chars(std::begin(text), std::end(text), number).ptr;
+    const auto* const end = std::to_chars(std::begin(text), std::end(text), number).ptr;
     add(key, {text, static_cast<std::size_t>(end - text)});
     return *this;
 }
--- a/src/server/peer_link.cpp
+++ b/src/server/peer_link.cpp
@@ -38,9 +38,9 @@
     this->listen(true);
 }
 
-void PeerLink::listen(bool on) {
-    if (std::exchange(listening_, on) == on) return;
-    if (on) receive();
+void PeerLink::listen(bool enabled) {
+    if (std::exchange(listening_, enabled) == enabled) return;
+    if (enabled) receive();
     else socket_.cancel();
 }
 
--- a/src/server/peer_link.h
+++ b/src/server/peer_link.h
@@ -30,7 +30,7 @@
              std::optional<Endpoint> all_peers, int own_rank, OnMessage on_message);
     // Starts or stops to receive. Messages that arrive meanwhile stay in the socket, for another process that
     // shares it.
-    void listen(bool on);
+    void listen(bool enabled);
     [[nodiscard]] int native_handle() { return socket_.native_handle(); }
     // Sends to one peer by rank, or below 0 to all. A message of more than 256 bytes is dropped.
     void send(int to, std::string_view bytes);
--- a/src/server/request_handler.h
+++ b/src/server/request_handler.h
@@ -40,8 +40,8 @@
     void on_client_disconnected(decision::RequestId id);
     // The last piece of a streamed answer has been written.
     void on_piece_written(decision::RequestId id);
-    // `request` is the unanswered request of the closed connection; 0: none.
-    void on_client_closed(ClientCloseReason reason, decision::RequestId request);
+    // `id`: of the unanswered request of the closed connection; 0: none.
+    void on_client_closed(ClientCloseReason reason, decision::RequestId id);
 
     // From hosts.
     void on_attempt_ended(const HostPool::AttemptKey& key, const std::string& uid, HostResult&& result);
--- a/src/server/request_validator.cpp
+++ b/src/server/request_validator.cpp
@@ -58,7 +58,7 @@
 }
 
 std::optional<RequestError> read_trace_id(std::string_view text, RequestAttributes& attributes) {
-    const auto is_visible = [](char c) { return c > ' ' && c < 0x7f; };
+    const auto is_visible = [](char character) { return character > ' ' && character < 0x7f; };
     if (text.empty() || text.size() > max_trace_id_length ||
         !std::all_of(text.begin(), text.end(), is_visible))
         return bad_request("X-Trace-Id: expected an id");
@@ -68,8 +68,9 @@
 
 std::optional<RequestError> read_customer(std::string_view text, RequestAttributes& attributes) {
     attributes.customer = text;
-    // A customer's home is found by this text, so it has to be the same at every gateway.
-    for (char& c : attributes.customer) c = static_cast<char>(c >= 'A' && c <= 'F' ? c - 'A' + 'a' : c);
+    // A customer's lease holder is found by this text, so it has to be the same at every gateway.
+    for (char& digit : attributes.customer)
+        digit = static_cast<char>(digit >= 'A' && digit <= 'F' ? digit - 'A' + 'a' : digit);
     std::uint64_t number = 0;
     if (attributes.customer.size() != customer_length || !read_number(attributes.customer, number, 16) ||
         number >= customer_limit)
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -57,13 +57,13 @@
 
 HostPool::Callbacks Runtime::host_callbacks() {
     HostPool::Callbacks callbacks;
-    callbacks.on_attempt = [this](const auto& key, const auto& uid, auto&& result) {
+    callbacks.on_attempt = [this](const auto& key, const auto& uid, HostResult&& result) {
         requests_.on_attempt_ended(key, uid, std::move(result));
     };
-    callbacks.on_probe = [this](const auto& uid, auto&& result) {
+    callbacks.on_probe = [this](const auto& uid, HostResult&& result) {
         hosts_.on_health_check_ended(uid, std::move(result));
     };
-    callbacks.on_response_started = [this](const auto& key, const auto& uid, auto&& result) {
+    callbacks.on_response_started = [this](const auto& key, const auto& uid, HostResult&& result) {
         return requests_.on_response_started(key, uid, std::move(result));
     };
     callbacks.on_piece = [this](const auto& key, std::string&& piece) {
--- a/src/server/socket_budget.h
+++ b/src/server/socket_budget.h
@@ -68,7 +68,7 @@
         if (freed_) freed_();
     }
     // How many sockets that side holds.
-    [[nodiscard]] std::size_t held(Side side) const { return held_[index_of(side)]; }
+    [[nodiscard]] std::size_t in_use(Side side) const { return held_[index_of(side)]; }
 
   private:
     static constexpr std::size_t index_of(Side side) { return static_cast<std::size_t>(side); }
--- a/tests/server/client_disconnect_test.cpp
+++ b/tests/server/client_disconnect_test.cpp
@@ -13,7 +13,7 @@
         ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
         client.close();
     }
-    ASSERT_TRUE(run_until(io, [&] { return budget->granted(SocketBudget::Side::client) == 0; }));
+    ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 0; }));
     host.peers[0]->ok("to nobody");
     on_request = [](auto& peer) { peer.ok("next"); };
     Client client(io, address());
@@ -32,10 +32,10 @@
     ASSERT_TRUE(starts());
     Client client(io, address());
     client.say(request("a"));
-    ASSERT_TRUE(run_until(io, [&] { return budget->granted(SocketBudget::Side::host) == 1; }));
+    ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::host) == 1; }));
     client.close();
-    ASSERT_TRUE(run_until(io, [&] { return budget->granted(SocketBudget::Side::client) == 0; }));
-    EXPECT_EQ(budget->granted(SocketBudget::Side::host), 0u);
+    ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 0; }));
+    EXPECT_EQ(budget->in_use(SocketBudget::Side::host), 0u);
 }
 
 TEST_F(GatewayTest, AHedgeThatHasNotBeenSentEndsWithTheAnswerToTheFirstAttempt) {
@@ -56,11 +56,11 @@
         complete_list(2, endpoint_entry("h", host.address()) + "," +
                              endpoint_entry("n", "127.0.0.1:" + std::to_string(late.endpoint().port())));
     for (const auto& peer : discovery.peers) peer->close();
-    ASSERT_TRUE(run_until(io, [&] { return budget->granted(SocketBudget::Side::host) == 2; }));
+    ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::host) == 2; }));
     host.peers[0]->ok("first");
     ASSERT_TRUE(answered(client, asked + 1));
     EXPECT_EQ(client.answers().back().body(), "first");
-    EXPECT_EQ(budget->granted(SocketBudget::Side::host), 1u);  // the kept connection
+    EXPECT_EQ(budget->in_use(SocketBudget::Side::host), 1u);  // the kept connection
 }
 
 // On the narrow days some clients send much at once and go.
--- a/tests/server/resource_limit_test.cpp
+++ b/tests/server/resource_limit_test.cpp
@@ -25,7 +25,7 @@
         ASSERT_TRUE(answered(asked.back()));
     }
     for (int i = 0; i < 31; ++i) silent.emplace_back(io, address());
-    ASSERT_TRUE(run_until(io, [&] { return budget->granted(SocketBudget::Side::client) == 36; }));
+    ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 36; }));
     // Past the time in which a first request comes.
     asio::steady_timer pause(io, 100ms);
     bool over = false;
@@ -48,7 +48,7 @@
         once.back().say(request(std::string("r").append(std::to_string(i))));
         ASSERT_TRUE(answered(once.back()));
     }
-    EXPECT_LE(budget->granted(SocketBudget::Side::client), 12u);
+    EXPECT_LE(budget->in_use(SocketBudget::Side::client), 12u);
     EXPECT_FALSE(once.back().ended());
 }
 
@@ -79,7 +79,7 @@
     ASSERT_TRUE(starts());
     std::vector<Client> idle;
     for (int i = 0; i < 6; ++i) idle.emplace_back(io, address());
-    ASSERT_TRUE(run_until(io, [&] { return budget->granted(SocketBudget::Side::client) == 6; }));
+    ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 6; }));
     Client late(io, address());
     late.say(request("a"));
     ASSERT_TRUE(answered(late));
@@ -96,7 +96,7 @@
         busy.emplace_back(io, address());
         busy.back().say("GET / HTTP/1.1\r\n");  // half a request
     }
-    ASSERT_TRUE(run_until(io, [&] { return budget->granted(SocketBudget::Side::client) == 6; }));
+    ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 6; }));
     Client late(io, address());
     late.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     busy[3].close();
--- a/tests/server/shutdown_test.cpp
+++ b/tests/server/shutdown_test.cpp
@@ -117,7 +117,7 @@
     ASSERT_TRUE(starts());
     Client half(io, address());
     half.say("GET / HTTP/1.1\r\n");
-    ASSERT_TRUE(run_until(io, [&] { return budget->granted(SocketBudget::Side::client) == 1; }));
+    ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 1; }));
     bool done = false;
     gateway().drain([&] { done = true; });
     EXPECT_TRUE(run_until(io, [&] { return done; }));
--- a/tools/fault_soak/main.cpp
+++ b/tools/fault_soak/main.cpp
@@ -1,11 +1,10 @@
 // fault_soak: plays seeded faults against real gateways on loopback and checks the invariants that they have
 // to keep. See README, "Fault soak". Exit status: 0 where all were kept, 1 after a violation, 2 where a run
 // was not possible.
-#include <stdlib.h>
-
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <cstdio>
+#include <cstdlib>
 #include <filesystem>
 #include <map>
 #include <stdexcept>
--- a/tools/fault_soak/shim/fault_shim.cpp
+++ b/tools/fault_soak/shim/fault_shim.cpp
@@ -13,7 +13,6 @@
 #include <sys/time.h>
 #include <sys/uio.h>
 #include <sys/un.h>
-#include <time.h>
 #include <unistd.h>
 
 #include <algorithm>
@@ -21,6 +20,7 @@
 #include <cerrno>
 #include <cstdio>
 #include <cstdlib>
+#include <ctime>
 #include <initializer_list>
 #include <random>
 #include <type_traits>
