--- a/src/decision/quota_leases.cpp
+++ b/src/decision/quota_leases.cpp
@@ -70,8 +70,8 @@
     return quota.exhausted_until - context_.now();
 }
 
-Micros QuotaLeases::mark_exhausted(Customer& customer, const LeaseGrant& refusal) {
-    const Micros wait = std::max(grant_timeout, Micros(refusal.retry_after_ms * 1000));
+Micros QuotaLeases::mark_exhausted(Customer& customer, const LeaseGrant& empty_grant) {
+    const Micros wait = std::max(grant_timeout, Micros(empty_grant.retry_after_ms * 1000));
     customer.quota.exhausted_until = context_.now() + wait;
     return wait;
 }
--- a/src/decision/quota_leases.h
+++ b/src/decision/quota_leases.h
@@ -48,7 +48,7 @@
     // How long the lease holder has nothing for such a request; nothing where that is not known.
     [[nodiscard]] std::optional<Micros> exhausted_for(const Customer& customer, double units) const;
     // The lease holder has nothing now. Returns the wait until it could have.
-    Micros mark_exhausted(Customer& customer, const LeaseGrant& refusal);
+    Micros mark_exhausted(Customer& customer, const LeaseGrant& empty_grant);
     // A request of so many units was turned down for that.
     static void record_turned_down(Customer& customer, double units);
 
--- a/src/server/discovery.cpp
+++ b/src/server/discovery.cpp
@@ -209,7 +209,7 @@
     response_timeout_ = timing_.response_timeout;
     backoff_ = timing_.initial_backoff;
     // The agent has restarted its versions: a watch from the version known here could be held for ever.
-    const bool versions_restarted = !list.whole && version_ && list.version < *version_;
+    const bool versions_restarted = !list.complete && version_ && list.version < *version_;
     if (versions_restarted) {
         version_.reset();
         return poll();
--- a/src/server/endpoint_list.cpp
+++ b/src/server/endpoint_list.cpp
@@ -54,7 +54,7 @@
 EndpointList read_endpoint_list(json::object object) {
     EndpointList list;
     list.version = json::as_integer(json::required(object, "rev"), "rev");
-    list.whole = json::as_bool(json::required(object, "all"), "all");
+    list.complete = json::as_bool(json::required(object, "all"), "all");
     for (json::element element : json::as_array(json::required(object, "targets"), "targets"))
         list.endpoints.push_back(read_entry(json::as_object(element, "targets[]")));
     return list;
--- a/src/server/endpoint_list.h
+++ b/src/server/endpoint_list.h
@@ -26,7 +26,7 @@
 // A complete list, or the changes since an earlier version.
 struct EndpointList {
     std::int64_t version = 0;
-    bool whole = false;  // complete
+    bool complete = false;  // false: only what has changed since the earlier version
     std::vector<Endpoint> endpoints;
 };
 
--- a/src/server/host_manager.cpp
+++ b/src/server/host_manager.cpp
@@ -38,7 +38,7 @@
 void log_endpoint_list(const EndpointList& list) {
     LogLine(LogLevel::info, "endpoint_list_received")
         .with("revision", list.version)
-        .with("whole", list.whole ? "yes" : "no")
+        .with("complete", list.complete ? "yes" : "no")
         .with("hosts", static_cast<std::int64_t>(list.endpoints.size()));
     if (!logs(LogLevel::debug)) return;
     for (const Endpoint& endpoint : list.endpoints)
@@ -50,7 +50,7 @@
 
 decision::HostsChanged to_event(const EndpointList& list) {
     decision::HostsChanged event;
-    event.complete_list = list.whole;
+    event.complete_list = list.complete;
     for (const Endpoint& endpoint : list.endpoints)
         event.entries.push_back({endpoint.uid, endpoint.zone, endpoint.kind, endpoint.cell,
                                  to_host_state(endpoint.state), endpoint.weight,
@@ -63,7 +63,7 @@
     : guard_(guard), dispatcher_(dispatcher), pool_(pool) {}
 
 void HostManager::on_endpoint_list(const EndpointList& list) {
-    if (!list.whole && list.endpoints.empty()) return;  // a watch that ended without a change
+    if (!list.complete && list.endpoints.empty()) return;  // a watch that ended without a change
     track(list);
     decision::HostsChanged event = to_event(list);
     guard_.hosts_changed(event);
@@ -74,7 +74,7 @@
 }
 
 void HostManager::track(const EndpointList& list) {
-    if (list.whole) ready_hosts_.clear();
+    if (list.complete) ready_hosts_.clear();
     std::unordered_set<std::string_view> listed;
     for (const Endpoint& endpoint : list.endpoints) {
         listed.insert(endpoint.uid);
@@ -83,7 +83,7 @@
         known_names_.listed(endpoint.uid);
         if (endpoint.state == EndpointState::gone) known_names_.gone(endpoint.uid, Steady::now());
     }
-    if (list.whole) known_names_.only(listed, Steady::now());
+    if (list.complete) known_names_.only(listed, Steady::now());
     known_names_.forget_old(Steady::now(), pool_.banned());
 }
 
--- a/src/server/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -78,7 +78,7 @@
 }
 
 void HostPool::update(const EndpointList& list) {
-    if (list.whole)
+    if (list.complete)
         for (const auto& [uid, host] : hosts_) host->listed_ready = false;
     for (const Endpoint& listed : list.endpoints) {
         auto& host = hosts_[listed.uid];
@@ -90,7 +90,7 @@
     }
     end_requests_to_unavailable_hosts();
     const auto is_leaving = [](const auto& entry) { return !entry.second->listed_ready; };
-    if (list.whole) {
+    if (list.complete) {
         std::erase_if(hosts_, is_leaving);
         return;
     }
--- a/src/server/metrics.cpp
+++ b/src/server/metrics.cpp
@@ -26,7 +26,7 @@
 std::string Metrics::text(const decision::RuleGuard::Violations& violations) const {
     std::string text;
     add_counter(text, "api_gateway_requests_total", requests_);
-    add_counter(text, "api_gateway_requests_rejected_total", invalid_requests_);
+    add_counter(text, "api_gateway_requests_invalid_total", invalid_requests_);
     add_type(text, "api_gateway_answers_total");
     for (const auto& [status, count] : answers_)
         add_sample(text, "api_gateway_answers_total", "status", std::to_string(status), count);
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -45,7 +45,7 @@
       upgrade_(io, {config_, budget, dispatcher_, hosts_, pool_, listeners_}),
       shutdown_(io, {clock_, config_.settings, guard_, listeners_, requests_, upgrade_}) {
     EndpointList configured = config_.initial_endpoints;
-    configured.whole = true;
+    configured.complete = true;
     hosts_.on_endpoint_list(configured);
     if (config_.admin_listen) admin_server_ = bind_with_retry("mgmt", [&] { return make_admin_server(io); });
     start_initial_list_timeout();
--- a/tests/server/discovery_test.cpp
+++ b/tests/server/discovery_test.cpp
@@ -30,8 +30,8 @@
     EXPECT_EQ(agent.targets[2].substr(0, 25), "/catalog/members?from=43&");
     EXPECT_EQ(agent.peers.size(), 1u);
     ASSERT_EQ(lists.size(), 3u);
-    EXPECT_TRUE(lists[0].whole);
-    EXPECT_FALSE(lists[1].whole);
+    EXPECT_TRUE(lists[0].complete);
+    EXPECT_FALSE(lists[1].complete);
     const Endpoint& t = lists[0].endpoints.at(0);
     EXPECT_EQ(t.uid, "s-1");
     EXPECT_EQ(t.zone, "hall-a");
