--- a/src/server/client_server.h
+++ b/src/server/client_server.h
@@ -26,7 +26,7 @@
 
 // Serves the clients at one address. Each request that is passed on is owed one final response, complete or
 // streamed.
-class ClientServer : private ClientConnectionOwner {
+class ClientServer final : private ClientConnectionOwner {
   public:
     struct Callbacks {
         std::function<void(ClientRequest&&)> on_request;
--- a/src/server/host_pool.h
+++ b/src/server/host_pool.h
@@ -23,7 +23,7 @@
 
 // Sends attempts and health checks to the hosts of the endpoint list, over connections that it keeps alive
 // between exchanges.
-class HostPool : private HostConnectionOwner {
+class HostPool final : private HostConnectionOwner {
   public:
     using AttemptKey = server::AttemptKey;
 
