--- a/bench/scale/discovery_stub.cpp
+++ b/bench/scale/discovery_stub.cpp
@@ -12,7 +12,9 @@
 
 constexpr int zones = 15;
 constexpr int hosts_per_cell = 8;
-constexpr int changed_host_distance = 7919;  // a prime: the changed hosts lie all over the list
+// Distance in the list between consecutive changed hosts. It is a prime, which spreads the changed hosts over
+// the whole list.
+constexpr int changed_host_distance = 7919;
 constexpr unsigned http_1_1 = 11;
 
 std::string host_json(int host, const char* state) {
@@ -85,7 +87,7 @@
 std::string DiscoveryStub::make_change() {
     ++version_;
     ++changes_sent_;
-    // Two changes for each host: it drains, then it is ready again.
+    // Each chosen host changes twice: first to draining, then back to ready.
     const int host = (version_ / 2) * changed_host_distance % hosts_;
     return R"({"rev":)" + std::to_string(version_) + R"(,"all":false,"targets":[)" +
            host_json(host, version_ % 2 == 0 ? "draining" : "ready") + "]}";
--- a/bench/scale/discovery_stub.h
+++ b/bench/scale/discovery_stub.h
@@ -1,8 +1,9 @@
-// A stub of discovery's agent for a real gateway, written from the public protocol.
+// A stub of the discovery agent that serves endpoint lists to a real gateway process. It implements the
+// public discovery protocol independently of the gateway's code.
 #pragma once
 
 #include <utility>
-// In a block of its own, as Boost.Asio 1.74 misses <utility>.
+// <utility> stands in a block of its own, before Boost.Asio: version 1.74 needs it but does not include it.
 // clang-format off
 #include <boost/asio.hpp>
 // clang-format on
@@ -15,16 +16,17 @@
 
 namespace gateway::scale {
 
-// Answers a first request with the complete list, and each poll for changes after a fixed time with one
-// changed host.
+// An HTTP server on a free loopback port. A request without a version gets the complete list at once; a poll
+// for changes gets one changed host after a fixed interval.
 class DiscoveryStub {
   public:
+    // Lists `hosts` hosts and answers `changes_per_s` polls for changes per second.
     DiscoveryStub(boost::asio::io_context& io, int hosts, double changes_per_s);
 
-    // On loopback.
+    // Returns the TCP port on 127.0.0.1 that the stub listens on.
     [[nodiscard]] std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
     [[nodiscard]] int changes_sent() const noexcept { return changes_sent_; }
-    // Of all responses, without their heads.
+    // Returns the total size of all response bodies in bytes, without the HTTP headers.
     [[nodiscard]] double bytes_sent() const noexcept { return bytes_sent_; }
 
   private:
@@ -42,7 +44,7 @@
     void handle_request(const std::shared_ptr<Session>& session);
     void respond(const std::shared_ptr<Session>& session, std::string body);
     [[nodiscard]] std::string make_complete_list() const;
-    // Increments the version.
+    // Increments the list version and returns a change of one host as JSON.
     [[nodiscard]] std::string make_change();
 
     boost::asio::ip::tcp::acceptor acceptor_;
@@ -52,7 +54,8 @@
     int version_ = 1;
     int changes_sent_ = 0;
     double bytes_sent_ = 0;
-    std::string complete_list_;  // of version 1
+    // The JSON body of list version 1.
+    std::string complete_list_;
 };
 
 }  // namespace gateway::scale
--- a/bench/scale/fleet.cpp
+++ b/bench/scale/fleet.cpp
@@ -16,7 +16,8 @@
 
 constexpr int zones = 15;
 constexpr int listed_hosts = 200;
-constexpr int max_gateways_per_tenant = 4;  // through which a tenant's requests arrive
+// Upper limit of the number of gateways that one tenant's requests arrive at.
+constexpr int max_gateways_per_tenant = 4;
 constexpr Micros min_message_delay = 2700us;
 constexpr Micros max_message_delay = 21ms;
 constexpr Micros response_time = 30ms;
@@ -94,18 +95,19 @@
 
 void Fleet::receive_event(const Scheduled& scheduled) {
     const bool is_message = std::holds_alternative<MessageArrived>(*scheduled.event);
-    if (is_message && !takes_in_message(*gateways_[scheduled.gateway])) {
+    if (is_message && !take_intake_token(*gateways_[scheduled.gateway])) {
         ++counts.intake_drops;
         return;
     }
     deliver(scheduled.gateway, *scheduled.event);
 }
 
-bool Fleet::takes_in_message(SimulatedGateway& gateway) const {
+bool Fleet::take_intake_token(SimulatedGateway& gateway) const {
     const double rate = module_settings(0, 1).messages_per_s;
-    const double elapsed_s = static_cast<double>((now_ - gateway.intake_at).count()) / micros_per_second;
+    const double elapsed_s =
+        static_cast<double>((now_ - gateway.intake_refilled_at).count()) / micros_per_second;
     gateway.intake_tokens = std::min(rate, gateway.intake_tokens + elapsed_s * rate);
-    gateway.intake_at = now_;
+    gateway.intake_refilled_at = now_;
     if (gateway.intake_tokens < 1) return false;
     gateway.intake_tokens -= 1;
     return true;
@@ -129,7 +131,7 @@
     }
 }
 
-// Hosts answer every attempt with success, after the same time.
+// Every attempt succeeds after `response_time`.
 void Fleet::send_attempt(int gateway, const SendAttempt& attempt) {
     ++counts.admitted;
     AttemptEnded ended;
@@ -140,7 +142,7 @@
     schedule(response_time, gateway, ended);
 }
 
-// Messages to every peer are counted and go nowhere.
+// Messages addressed to all peers (a negative `to`) are counted but not delivered.
 void Fleet::send_message(int from, const SendMessage& message) {
     ++counts.messages;
     counts.message_bytes += message.bytes.size();
--- a/bench/scale/fleet.h
+++ b/bench/scale/fleet.h
@@ -1,5 +1,5 @@
-// A fleet of gateways without sockets, on a simulated clock: instances of the decision module that exchange
-// their real messages through a modelled network.
+// A simulated fleet of gateways without sockets: instances of the decision module that run on a simulated
+// clock and exchange their real peer messages through a model of the network.
 #pragma once
 
 #include <cstdint>
@@ -13,42 +13,51 @@
 
 namespace gateway::scale {
 
-// What has happened in the fleet.
+// Totals over all gateways of a fleet.
 struct FleetCounts {
     std::uint64_t requests = 0;
-    std::uint64_t admitted = 0;  // attempts sent
+    // Attempts sent to hosts.
+    std::uint64_t admitted = 0;
     std::uint64_t rejected = 0;
     std::uint64_t messages = 0;
-    std::uint64_t message_bytes = 0;  // without datagram headers
-    std::uint64_t intake_drops = 0;   // messages beyond what their receiver takes in
+    // Payload bytes of the peer messages, without datagram headers.
+    std::uint64_t message_bytes = 0;
+    // Messages that were dropped because they exceeded the intake rate limit of their receiver.
+    std::uint64_t intake_drops = 0;
 };
 
+// Runs all gateways of a fleet in one thread, as a discrete-event simulation.
 class Fleet {
   public:
-    // The gateways get the complete list of hosts; requests begin with run_for().
+    // Creates the gateways and delivers the complete host list to each. Requests arrive only during
+    // run_for().
     Fleet(FleetSweep sweep, int gateways, std::uint64_t seed);
 
-    // Runs the fleet for so many seconds of its own clock.
+    // Advances the simulated clock by `seconds` and handles every event that falls due.
     void run_for(double seconds);
 
     FleetCounts counts;
 
   private:
-    // A gateway, and what it has taken in of the last second.
+    // A decision module with the token bucket that limits its intake of peer messages.
     struct SimulatedGateway {
         SimulatedGateway(int rank, int instances, std::uint64_t seed, decision::Micros now);
         decision::Gateway module;
         double intake_tokens = 0;
-        decision::Micros intake_at{0};  // when the tokens were last filled up
+        // Simulated time at which the bucket was last refilled.
+        decision::Micros intake_refilled_at{0};
     };
-    // Something that happens to a gateway at a later time: an event, or the arrival of a request.
+    // An entry of the event queue: either an event for a gateway or the arrival of a new request.
     struct Scheduled {
         decision::Micros at;
-        std::uint64_t order;  // of scheduling; decides among equal times
+        // Sequence number of scheduling, which orders entries of equal time.
+        std::uint64_t order;
         int gateway;
         bool is_arrival;
-        std::shared_ptr<decision::Event> event;  // null for an arrival
-        // As std::priority_queue needs it: the earliest is the greatest.
+        // Null when `is_arrival` is set.
+        std::shared_ptr<decision::Event> event;
+        // Inverted, because std::priority_queue returns its greatest element first: the earliest entry is the
+        // greatest.
         bool operator<(const Scheduled& other) const noexcept {
             return at != other.at ? at > other.at : order > other.order;
         }
@@ -59,8 +68,9 @@
     void receive_request(int gateway);
     [[nodiscard]] decision::RequestArrived draw_request(int gateway);
     void receive_event(const Scheduled& scheduled);
-    // Whether a gateway takes in one more message now: so many a second, and a second's worth at once.
-    [[nodiscard]] bool takes_in_message(SimulatedGateway& gateway) const;
+    // Refills the gateway's intake bucket, which fills at the module's `messages_per_s` and holds one
+    // second's worth, and takes one token. Returns false when the bucket is empty.
+    [[nodiscard]] bool take_intake_token(SimulatedGateway& gateway) const;
     void deliver(int gateway, const decision::Event& event);
     void carry_out(int gateway, const decision::Action& action);
     void send_attempt(int gateway, const decision::SendAttempt& attempt);
--- a/bench/scale/fleet_sweep.cpp
+++ b/bench/scale/fleet_sweep.cpp
@@ -1,4 +1,4 @@
-// The sweep over the number of gateways (sweeps.h).
+// Implements the sweep over the number of gateways (sweeps.h).
 #include <cstddef>
 #include <cstdint>
 #include <vector>
@@ -11,14 +11,18 @@
 namespace gateway::scale {
 namespace {
 
-constexpr double datagram_header_bytes = 28;  // of IPv4 and UDP
+// IPv4 and UDP headers of one datagram.
+constexpr double datagram_header_bytes = 28;
 constexpr double bytes_per_megabyte = 1e6;
 
-// What one point has cost, a value for each repeat.
+// The costs measured at one point of the sweep. The vectors hold one value per repeat.
 struct FleetCosts {
-    std::vector<double> core_percent;  // of one core, for each gateway
-    std::vector<double> memory_mb;     // of each gateway
-    FleetCounts counts;                // of the last repeat
+    // Processor time per gateway, in percent of one core.
+    std::vector<double> core_percent;
+    // Heap memory per gateway, in megabytes.
+    std::vector<double> memory_mb;
+    // Totals of the last repeat.
+    FleetCounts counts;
 };
 
 FleetCosts measure(const FleetSweep& sweep, int gateways) {
@@ -50,13 +54,14 @@
     row.sizes = {{"gateways", static_cast<double>(gateways)},
                  {"tenants_per_gateway", static_cast<double>(sweep.tenants_per_gateway)},
                  {"requests_per_s", sweep.requests_per_s}};
-    row.counts = {{"requests", static_cast<double>(counts.requests)},
-                  {"sent_share", static_cast<double>(counts.admitted) / static_cast<double>(counts.requests)},
-                  {"messages_per_s", static_cast<double>(counts.messages) / gateway_seconds},
-                  {"bytes_per_s", bytes_per_second(counts, gateway_seconds)},
-                  {"intake_drops", static_cast<double>(counts.intake_drops)}};
-    row.measured = {{"core_percent", summarize(costs.core_percent)},
-                    {"memory_mb", summarize(costs.memory_mb)}};
+    row.single_run_values = {
+        {"requests", static_cast<double>(counts.requests)},
+        {"sent_share", static_cast<double>(counts.admitted) / static_cast<double>(counts.requests)},
+        {"messages_per_s", static_cast<double>(counts.messages) / gateway_seconds},
+        {"bytes_per_s", bytes_per_second(counts, gateway_seconds)},
+        {"intake_drops", static_cast<double>(counts.intake_drops)}};
+    row.repeat_summaries = {{"core_percent", summarize(costs.core_percent)},
+                            {"memory_mb", summarize(costs.memory_mb)}};
     return row;
 }
 
--- a/bench/scale/gateway_process.h
+++ b/bench/scale/gateway_process.h
@@ -1,4 +1,4 @@
-// A real gateway as a process, and what it uses of the machine.
+// Runs a real gateway as a child process and reads its processor time and memory from /proc.
 #pragma once
 
 #include <sys/types.h>
@@ -8,32 +8,33 @@
 
 namespace gateway::scale {
 
-// Runs the program with a configuration of its own in a temporary folder; both end with this object.
+// Starts the gateway program with a configuration file in a new temporary folder. The destructor kills the
+// process and deletes the folder.
 class GatewayProcess {
   public:
-    // `discovery_port`: of the agent on loopback. Throws std::runtime_error where the program cannot be
-    // started.
+    // `discovery_port` is the loopback port of the discovery agent. Throws std::runtime_error if the program
+    // cannot be started.
     GatewayProcess(const std::string& program, std::uint16_t discovery_port);
     ~GatewayProcess();
     GatewayProcess(const GatewayProcess&) = delete;
     GatewayProcess& operator=(const GatewayProcess&) = delete;
 
-    // The functions below throw std::runtime_error where the process has ended.
+    // The functions below throw std::runtime_error if the process has ended.
 
-    // User and system time so far.
+    // Returns the user and system time used so far, in seconds.
     [[nodiscard]] double cpu_seconds() const;
-    // Resident memory now and at most so far, in megabytes.
+    // Return the current and the peak resident memory, in megabytes (10^6 bytes).
     [[nodiscard]] double memory_mb() const { return status_mb("VmRSS:"); }
     [[nodiscard]] double peak_memory_mb() const { return status_mb("VmHWM:"); }
 
   private:
     void write_config(std::uint16_t discovery_port);
-    // The value of a line of /proc/PID/status that is given in kB.
+    // Returns the value of the field `key` of /proc/PID/status, converted from kB to megabytes.
     [[nodiscard]] double status_mb(const std::string& key) const;
 
     std::string folder_;
-    std::string config_;
-    pid_t id_ = -1;
+    std::string config_path_;
+    pid_t process_id_ = -1;
 };
 
 }  // namespace gateway::scale
--- a/bench/scale/gateway_run.cpp
+++ b/bench/scale/gateway_run.cpp
@@ -30,12 +30,12 @@
     Row row;
     row.sweep = "gateway";
     row.sizes = {{"hosts", static_cast<double>(hosts)}, {"changes_per_s", run.changes_per_s}};
-    row.counts = {{"changes", static_cast<double>(changes)},
-                  {"list_mb", bytes_before / bytes_per_megabyte},
-                  {"bytes_per_s", (discovery.bytes_sent() - bytes_before) / run.seconds},
-                  {"core_percent", core_percent},
-                  {"memory_mb", gateway.memory_mb()},
-                  {"most_memory_mb", gateway.peak_memory_mb()}};
+    row.single_run_values = {{"changes", static_cast<double>(changes)},
+                             {"list_mb", bytes_before / bytes_per_megabyte},
+                             {"bytes_per_s", (discovery.bytes_sent() - bytes_before) / run.seconds},
+                             {"core_percent", core_percent},
+                             {"memory_mb", gateway.memory_mb()},
+                             {"most_memory_mb", gateway.peak_memory_mb()}};
     constexpr std::uint64_t no_seed = 0;
     print(row, no_seed);
 }
--- a/bench/scale/gateway_run.h
+++ b/bench/scale/gateway_run.h
@@ -1,5 +1,5 @@
-// Measures a real gateway under a long endpoint list that changes: processor time and memory, as the system
-// counts them.
+// Measures the processor time and memory that a real gateway process uses while discovery sends it a long,
+// changing endpoint list. The operating system provides the figures.
 #pragma once
 
 #include <string>
@@ -7,15 +7,21 @@
 
 namespace gateway::scale {
 
+// The parameters of the measurement.
 struct GatewayRun {
-    std::string program;                          // the gateway
-    std::vector<int> hosts{1000, 20000, 150000};  // listed; a run each
+    // Path of the gateway program.
+    std::string program;
+    // Lengths of the endpoint list; each is measured in a run of its own.
+    std::vector<int> hosts{1000, 20000, 150000};
+    // Changed hosts that discovery sends per second.
     double changes_per_s = 2;
-    double seconds = 20;        // measured, after `settle_seconds`
-    double settle_seconds = 5;  // in which the gateway takes in the complete list
+    // Length of the measurement, which begins after `settle_seconds`.
+    double seconds = 20;
+    // Time for the gateway to start and process the complete list.
+    double settle_seconds = 5;
 };
 
-// Prints a row for each size. Throws std::runtime_error where the program cannot be started or ends during a
+// Prints one row per list length. Throws std::runtime_error if the program cannot be started or ends during a
 // run.
 void run(const GatewayRun& run);
 
--- a/bench/scale/host_sweep.cpp
+++ b/bench/scale/host_sweep.cpp
@@ -1,4 +1,4 @@
-// The sweep over the number of listed hosts (sweeps.h).
+// Implements the sweep over the number of listed hosts (sweeps.h).
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -21,31 +21,35 @@
 constexpr int zones = 15;
 constexpr int gateways = 2400;
 constexpr Micros change_interval = 300ms;
-constexpr Micros clean_up_period = 5s;  // the module's own is no longer
+// Simulated time between two clean-ups. The clean-up period of the decision module is not longer than this.
+constexpr Micros clean_up_period = 5s;
 constexpr int clean_ups = 4;
 constexpr Micros client_timeout = 600ms;
 constexpr Micros response_time = 20ms;
 constexpr double bytes_per_megabyte = 1e6;
-// From seconds to the units that are printed.
-constexpr double milliseconds = 1e3;
-constexpr double microseconds = 1e6;
+// Factors that convert seconds to the printed units.
+constexpr double milliseconds_per_second = 1e3;
+constexpr double microseconds_per_second = 1e6;
 
-// What one instance costs. Times are in seconds of processor time.
+// The costs of one instance. All times are processor time in seconds.
 struct HostCosts {
-    double change = 0;  // in the mean
+    // Mean time to handle the change of one host.
+    double mean_change = 0;
     double slowest_change = 0;
+    // Time to handle the loss of all hosts of a zone in one message.
     double zone_lost = 0;
-    double clean_up = 0;  // the slowest
-    double request = 0;   // in the mean
+    double slowest_clean_up = 0;
+    // Mean time to handle a request and its answer.
+    double mean_request = 0;
     double memory_mb = 0;
 };
 
-// One instance of the decision module with its clock, and the actions of its latest event.
+// One instance of the decision module with its simulated clock and the actions returned for the latest event.
 class Instance {
   public:
     explicit Instance(std::uint64_t seed) : gateway_(module_settings(0, gateways), seed, now_) {}
 
-    // Gives the processor time that the event has taken, in seconds.
+    // Handles the event and returns the processor time used, in seconds.
     double handle(const Event& event) {
         actions_.clear();
         const double cpu_seconds = cpu_seconds_of([&] { gateway_.handle(now_, event, actions_); });
@@ -55,6 +59,7 @@
     }
     void advance(Micros time) { now_ += time; }
     [[nodiscard]] const std::vector<Action>& actions() const noexcept { return actions_; }
+    // Returns the token of the timer that the module set last.
     [[nodiscard]] std::uint64_t latest_timer() const noexcept { return latest_timer_; }
 
   private:
@@ -87,7 +92,8 @@
     return list;
 }
 
-// Gives what a request has taken that is sent at once and answered with success, in seconds.
+// Sends a request through the instance and, if the instance forwards it at once, answers it with success.
+// Returns the processor time used, in seconds.
 double serve_request(Instance& instance, RequestId id) {
     RequestArrived request;
     request.id = id;
@@ -109,7 +115,7 @@
     return cpu_seconds;
 }
 
-// Gives the bytes that the list holds in memory.
+// Returns the heap bytes by which the instance grows when it receives the complete list.
 double load_complete_list(Instance& instance, int hosts) {
     const HostsChanged list = complete_host_list(hosts);
     const std::size_t heap_before = heap_bytes();
@@ -126,9 +132,9 @@
         const int host = static_cast<int>(random() % static_cast<unsigned>(hosts));
         const HostState state = change % 2 == 0 ? HostState::draining : HostState::up;
         const double cpu_seconds = instance.handle(change_of(host, state));
-        costs.change += cpu_seconds / sweep.changes;
+        costs.mean_change += cpu_seconds / sweep.changes;
         costs.slowest_change = std::max(costs.slowest_change, cpu_seconds);
-        costs.request += serve_request(instance, next_request) / sweep.changes;
+        costs.mean_request += serve_request(instance, next_request) / sweep.changes;
         ++next_request;
     }
 }
@@ -137,7 +143,7 @@
     HostCosts costs;
     const std::size_t heap_before = heap_bytes();
     Instance instance(seed);
-    // Sets the timer that cleans up.
+    // HandedOver makes the module set the timer of its periodic clean-up.
     instance.handle(HandedOver{false});
     const std::uint64_t clean_up_timer = instance.latest_timer();
     const double list_bytes = load_complete_list(instance, hosts);
@@ -146,13 +152,14 @@
     measure_changes(instance, sweep, hosts, seed, costs);
     for (int round = 0; round < clean_ups; ++round) {
         instance.advance(clean_up_period);
-        costs.clean_up = std::max(costs.clean_up, instance.handle(TimerFired{clean_up_timer}));
+        costs.slowest_clean_up =
+            std::max(costs.slowest_clean_up, instance.handle(TimerFired{clean_up_timer}));
     }
     costs.zone_lost = instance.handle(lost_zone(hosts));
     return costs;
 }
 
-// A cost over the repeats of a point, multiplied to the unit that is printed.
+// Summarizes one cost over the repeats of a point. `factor` converts the cost to the printed unit.
 Summary summarize_cost(const std::vector<HostCosts>& repeats, double HostCosts::*cost, double factor = 1) {
     std::vector<double> values;
     values.reserve(repeats.size());
@@ -164,13 +171,14 @@
     Row row;
     row.sweep = "hosts";
     row.sizes = {{"hosts", static_cast<double>(hosts)}};
-    row.counts = {{"changes", static_cast<double>(sweep.changes)}};
-    row.measured = {{"change_ms", summarize_cost(repeats, &HostCosts::change, milliseconds)},
-                    {"slowest_change_ms", summarize_cost(repeats, &HostCosts::slowest_change, milliseconds)},
-                    {"clean_up_ms", summarize_cost(repeats, &HostCosts::clean_up, milliseconds)},
-                    {"zone_lost_ms", summarize_cost(repeats, &HostCosts::zone_lost, milliseconds)},
-                    {"request_us", summarize_cost(repeats, &HostCosts::request, microseconds)},
-                    {"memory_mb", summarize_cost(repeats, &HostCosts::memory_mb)}};
+    row.single_run_values = {{"changes", static_cast<double>(sweep.changes)}};
+    row.repeat_summaries = {
+        {"change_ms", summarize_cost(repeats, &HostCosts::mean_change, milliseconds_per_second)},
+        {"slowest_change_ms", summarize_cost(repeats, &HostCosts::slowest_change, milliseconds_per_second)},
+        {"clean_up_ms", summarize_cost(repeats, &HostCosts::slowest_clean_up, milliseconds_per_second)},
+        {"zone_lost_ms", summarize_cost(repeats, &HostCosts::zone_lost, milliseconds_per_second)},
+        {"request_us", summarize_cost(repeats, &HostCosts::mean_request, microseconds_per_second)},
+        {"memory_mb", summarize_cost(repeats, &HostCosts::memory_mb)}};
     return row;
 }
 
@@ -187,8 +195,10 @@
             repeats.push_back(measure(sweep, hosts, sweep.seed + static_cast<std::uint64_t>(repeat)));
         print(make_row(sweep, hosts, repeats), sweep.seed);
         const auto size = static_cast<double>(hosts);
-        change_points.push_back({size, summarize_cost(repeats, &HostCosts::change, milliseconds).median});
-        clean_up_points.push_back({size, summarize_cost(repeats, &HostCosts::clean_up, milliseconds).median});
+        change_points.push_back(
+            {size, summarize_cost(repeats, &HostCosts::mean_change, milliseconds_per_second).median});
+        clean_up_points.push_back(
+            {size, summarize_cost(repeats, &HostCosts::slowest_clean_up, milliseconds_per_second).median});
         memory_points.push_back({size, summarize_cost(repeats, &HostCosts::memory_mb).median});
     }
     print_exponent("hosts", "change_ms", "hosts", change_points);
--- a/bench/scale/measure.cpp
+++ b/bench/scale/measure.cpp
@@ -35,7 +35,7 @@
     return {quantile(values, 0), quantile(values, 0.5), quantile(values, 1)};
 }
 
-// The slope of the regression line through the logarithms.
+// The exponent is the slope of the regression line through the logarithms of sizes and values.
 double fitted_exponent(const std::vector<Point>& points) {
     double sum_size = 0;
     double sum_value = 0;
--- a/bench/scale/measure.h
+++ b/bench/scale/measure.h
@@ -1,4 +1,4 @@
-// What the scale run measures with: processor time of this thread, bytes of the heap, and statistics of
+// Measuring functions of the scale run: processor time of the calling thread, heap usage, and statistics over
 // repeats.
 #pragma once
 
@@ -8,11 +8,11 @@
 
 namespace gateway::scale {
 
-// Processor time that this thread has used, in seconds.
+// Returns the processor time that the calling thread has used, in seconds.
 [[nodiscard]] double thread_cpu_seconds();
-// Bytes that the process has allocated and not freed.
+// Returns the number of heap bytes that the process has allocated and not freed.
 [[nodiscard]] std::size_t heap_bytes();
-// Processor time of `work`, in seconds.
+// Runs `work` and returns the processor time that it used in the calling thread, in seconds.
 [[nodiscard]] double cpu_seconds_of(const std::function<void()>& work);
 
 struct Summary {
@@ -20,9 +20,10 @@
     double median = 0;
     double maximum = 0;
 };
-// Of at least one value.
+// `values` must not be empty.
 [[nodiscard]] Summary summarize(const std::vector<double>& values);
-// The value that `share` of the values do not exceed; of at least one value.
+// Returns the smallest element that at least `share` (0 to 1) of the elements do not exceed. `values` must
+// not be empty.
 [[nodiscard]] double quantile(std::vector<double> values, double share);
 
 // A measured value at one size of the fleet.
@@ -30,7 +31,8 @@
     double size = 0;
     double value = 0;
 };
-// The exponent e of value = c * size^e, by least squares over the logarithms; sizes and values above 0.
+// Returns the exponent e of value = c * size^e, fitted by least squares over the logarithms. Sizes and values
+// must be above 0.
 [[nodiscard]] double fitted_exponent(const std::vector<Point>& points);
 
 }  // namespace gateway::scale
--- a/bench/scale/module_settings.cpp
+++ b/bench/scale/module_settings.cpp
@@ -5,11 +5,14 @@
 using namespace std::chrono_literals;
 
 namespace {
-// The rates of the largest plan of the first deployment's site.
-constexpr double plan_rate = 50;    // units a second
-constexpr double plan_burst_s = 2;  // seconds of the rate that the bucket holds
+// The rates are those of the largest plan at the site of the first deployment.
+// Quota in units per second.
+constexpr double plan_rate = 50;
+// Size of the quota's token bucket, in seconds of `plan_rate`.
+constexpr double plan_burst_s = 2;
 constexpr int hosts_per_cell = 8;
-constexpr int first_host_number = 1000000;  // so that all names are of one length
+// Numbers start this high so that all host names have the same length.
+constexpr int first_host_number = 1000000;
 }  // namespace
 
 decision::Settings module_settings(int rank, int instances) {
--- a/bench/scale/report.cpp
+++ b/bench/scale/report.cpp
@@ -7,12 +7,12 @@
 void print(const Row& row, std::uint64_t seed) {
     std::printf("{\"sweep\":\"%s\",\"seed\":%llu", row.sweep.c_str(), static_cast<unsigned long long>(seed));
     std::fprintf(stderr, "%-8s", row.sweep.c_str());
-    for (const auto* values : {&row.sizes, &row.counts})
+    for (const auto* values : {&row.sizes, &row.single_run_values})
         for (const auto& [name, value] : *values) {
             std::printf(",\"%s\":%.10g", name.c_str(), value);
             std::fprintf(stderr, "  %s=%.6g", name.c_str(), value);
         }
-    for (const auto& [name, summary] : row.measured) {
+    for (const auto& [name, summary] : row.repeat_summaries) {
         std::printf(",\"%s\":{\"min\":%.6g,\"median\":%.6g,\"max\":%.6g}", name.c_str(), summary.minimum,
                     summary.median, summary.maximum);
         std::fprintf(stderr, "  %s=%.4g (%.4g..%.4g)", name.c_str(), summary.median, summary.minimum,
--- a/bench/scale/report.h
+++ b/bench/scale/report.h
@@ -1,4 +1,5 @@
-// Prints the results of a scale run: JSON lines on standard output, a table for people on standard error.
+// Prints the results of a scale run: JSON lines on standard output and a human-readable table on standard
+// error.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +10,7 @@
 
 namespace gateway::scale {
 
-// A result; its name ends with its unit.
+// A result under its name in the output, which ends with the unit.
 struct NamedValue {
     std::string name;
     double value = 0;
@@ -19,17 +20,21 @@
     Summary summary;
 };
 
-// One measured point of a sweep. Results are printed in their order.
+// The results at one point of a sweep. Fields and their elements are printed in the order of declaration.
 struct Row {
     std::string sweep;
-    std::vector<NamedValue> sizes;       // that the point was measured at
-    std::vector<NamedValue> counts;      // of one run
-    std::vector<NamedSummary> measured;  // over the repeats
+    // Sizes of the fleet at this point.
+    std::vector<NamedValue> sizes;
+    // Values of a single run.
+    std::vector<NamedValue> single_run_values;
+    // Minimum, median and maximum over the repeats.
+    std::vector<NamedSummary> repeat_summaries;
 };
 
+// Prints one row to both streams.
 void print(const Row& row, std::uint64_t seed);
-// Prints the exponent with which a value grows with a size over the points of a sweep; nothing for fewer than
-// two points.
+// Prints the exponent with which `value` grows with `size` over the points of a sweep. Prints nothing for
+// fewer than two points.
 void print_exponent(const std::string& sweep, const std::string& value, const std::string& size,
                     const std::vector<Point>& points);
 
--- a/bench/scale/sweeps.h
+++ b/bench/scale/sweeps.h
@@ -1,5 +1,5 @@
-// The sweeps of the scale run over the size of the fleet. Each prints a row for every point and the exponents
-// fitted over them (report.h).
+// The sweeps of the scale run over the size of the fleet. Each sweep prints one row per point and then the
+// exponents fitted over the points (report.h).
 #pragma once
 
 #include <cstdint>
@@ -7,24 +7,32 @@
 
 namespace gateway::scale {
 
-// One instance of the decision module with endpoint lists of different length: what a changed host, a zone
-// that is lost at once, the periodic clean-up and a request cost in processor time, and the list in memory.
+// Gives one instance of the decision module endpoint lists of different lengths. Measures the processor time
+// of a single changed host, of the loss of a whole zone at once, of the periodic clean-up and of a request,
+// and the memory that the list uses.
 struct HostSweep {
-    std::vector<int> hosts{1000, 5000, 20000, 50000, 150000};  // a point each
-    int changes = 200;                                         // single changes at each point
+    // Numbers of listed hosts; each is one point of the sweep.
+    std::vector<int> hosts{1000, 5000, 20000, 50000, 150000};
+    // Changes of a single host at each point.
+    int changes = 200;
     int repeats = 3;
     std::uint64_t seed = 1;
 };
 void run(const HostSweep& sweep);
 
-// Instances of the decision module in one process on a simulated clock, exchanging their real messages
-// through a modelled network: delay, loss, and a limit on the messages that each takes in.
+// Runs many instances of the decision module in one process on a simulated clock. They exchange their real
+// peer messages through a model of the network with delay, loss and a rate limit on the messages that each
+// instance receives.
 struct FleetSweep {
-    std::vector<int> gateways{10, 50, 200, 600};  // a point each
+    // Numbers of gateways; each is one point of the sweep.
+    std::vector<int> gateways{10, 50, 200, 600};
     int tenants_per_gateway = 50;
-    double requests_per_s = 50;  // at each gateway
-    double seconds = 5;          // simulated and measured, after as long a warm-up
-    double loss = 0.03;          // share of the messages that is lost
+    // Requests per second at each gateway.
+    double requests_per_s = 50;
+    // Simulated time of the measurement, in seconds. An unmeasured warm-up of the same length precedes it.
+    double seconds = 5;
+    // Share of the peer messages that is lost.
+    double loss = 0.03;
     int repeats = 1;
     std::uint64_t seed = 1;
 };
