--- a/tools/fault_soak/bad_client.cpp
+++ b/tools/fault_soak/bad_client.cpp
@@ -10,7 +10,7 @@
 namespace fault_soak {
 namespace {
 
-constexpr Duration close_due = 3s;
+constexpr Duration close_timeout = 3s;
 constexpr Duration close_margin = 100ms;
 constexpr std::size_t flood_bytes = std::size_t{4} << 20;
 constexpr std::size_t endless_line_bytes = 200'000;
@@ -45,14 +45,17 @@
     if (error) co_return;
     const Time begin = Clock::now();
     const std::string request = malformed_request(options.variation);
-    Watchdog watchdog(io, socket, begin + close_due + options.slack + close_margin);
-    // The gateway may close before it has read everything.
+    Watchdog watchdog(io, socket, begin + close_timeout + options.slack + close_margin);
+    // A write error is no violation: the gateway may close the connection before it has read the whole
+    // request.
     co_await asio::async_write(socket, asio::buffer(request), into(error));
     std::array<char, 512> bytes;
     if (!watchdog.fired()) co_await socket.async_read_some(asio::buffer(bytes), into(error));
-    if (watchdog.fired() && options.gateway_runs())
+    if (watchdog.fired() && options.is_gateway_running())
         oracle.report(Invariant::bad_client_closed, "",
-                      concat("a bad client (kind ", options.variation % variations, ")"), Clock::now());
+                      concat("no response and no close after a malformed request (variation ",
+                             options.variation % variations, ")"),
+                      Clock::now());
 }
 
 }  // namespace fault_soak
--- a/tools/fault_soak/bad_client.h
+++ b/tools/fault_soak/bad_client.h
@@ -1,4 +1,5 @@
-// Clients that violate HTTP: half requests, floods, lines without an end, bytes that are no request.
+// Clients that violate HTTP with incomplete requests, floods of bytes, lines without an end and bytes that
+// are not a request.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +12,17 @@
 
 struct BadClientOptions {
     tcp::endpoint gateway;
-    std::uint64_t variation = 0;  // which way of being bad
-    Duration slack{100};          // for the machine's own lateness
-    // Whether the process that was connected to still runs and owes a close.
-    std::function<bool()> gateway_runs;
+    // Selects the malformed request, modulo the number of variations.
+    std::uint64_t variation = 0;
+    // Added to time limits, because a busy machine can delay the soak itself.
+    Duration slack{100};
+    // Returns whether the gateway process that the client connected to still runs, so that it has to answer
+    // or close.
+    std::function<bool()> is_gateway_running;
 };
 
-// Sends a malformed request and reports a violation where the gateway neither answers nor closes in time.
+// Sends a malformed request. Reports a violation if the gateway neither answers nor closes the connection in
+// time.
 Task run_bad_client(asio::io_context& io, BadClientOptions options, Oracle& oracle);
 
 }  // namespace fault_soak
--- a/tools/fault_soak/black_hole.h
+++ b/tools/fault_soak/black_hole.h
@@ -1,4 +1,4 @@
-// An address to which no connection comes up.
+// An address that accepts no connections, for connection attempts that hang.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace fault_soak {
 
-// A listener that accepts nothing and whose queue is full: the kernel drops further requests for a
-// connection.
+// A listening socket that never accepts and whose backlog is full, so that the kernel drops further SYN
+// packets.
 class BlackHole {
   public:
     explicit BlackHole(asio::io_context& io) : listener_(io) {
@@ -23,10 +23,12 @@
         }
     }
 
+    // Returns the loopback port of the listening socket.
     [[nodiscard]] std::uint16_t port() const { return listener_.local_endpoint().port(); }
 
   private:
     tcp::acceptor listener_;
+    // Connections that fill the backlog.
     std::vector<tcp::socket> fillers_;
 };
 
--- a/tools/fault_soak/client.cpp
+++ b/tools/fault_soak/client.cpp
@@ -11,30 +11,33 @@
 namespace {
 
 constexpr double mean_think_time_ms = 120;
-constexpr Duration no_gateway_pause = 50ms;
-// A client that rests so long asks again about when its gateway closes the idle connection.
-constexpr Duration rest = 9900ms;
-constexpr int rest_spread_ms = 200;
-constexpr int rest_one_in = 150;
-// Clients prefer one gateway each.
-constexpr int own_gateway_in_ten = 8;
+constexpr Duration no_gateway_retry_delay = 50ms;
+// One request in `idle_pause_one_in` follows a pause of this length, so that its next request coincides with
+// the close of the idle connection by the gateway.
+constexpr Duration idle_pause = 9900ms;
+constexpr int idle_pause_spread_ms = 200;
+constexpr int idle_pause_one_in = 150;
+// Each client prefers one gateway and sends it this many of ten requests while it is in rotation.
+constexpr int preferred_gateway_in_ten = 8;
 constexpr int customers_per_plan = 20;
-// Requests with a deadline of some milliseconds only.
+// One request in `short_timeout_one_in` gets a timeout of at most `short_timeout_ms` milliseconds.
 constexpr int short_timeout_one_in = 25;
 constexpr int short_timeout_ms = 30;
-// Requests that are written in two pieces, with a pause between them.
+// One request in `in_pieces_one_in` is written in two pieces, with a pause of less than
+// `piece_pause_limit_ms` milliseconds between them.
 constexpr int in_pieces_one_in = 8;
 constexpr int piece_pause_limit_ms = 40;
 constexpr std::size_t body_bytes = 200;
 constexpr std::size_t large_body_bytes = 20000;
 constexpr int large_body_one_in = 10;
-constexpr Duration response_grace = 700ms;  // beyond the deadline
-// Clients that disconnect before their response, while ClientBehaviour::disconnects_early is set and
-// otherwise.
+// How long a client waits for a response beyond the deadline.
+constexpr Duration response_grace = 700ms;
+// The client of one request in this many disconnects before the response. The first number applies while
+// ClientBehaviour::disconnects_early is set, the second one otherwise.
 constexpr int early_disconnect_one_in = 3;
 constexpr int usual_disconnect_one_in = 25;
-constexpr Duration disconnect_within = 60ms;
-constexpr Duration shortest_time_to_disconnect = 10ms;
+constexpr Duration max_time_to_disconnect = 60ms;
+constexpr Duration min_time_left_to_disconnect = 10ms;
 
 std::string hex16(std::uint64_t number) {
     char text[20];
@@ -44,7 +47,7 @@
 
 }  // namespace
 
-// As in the configuration of the gateways.
+// A request class, with the same name and idempotency as in the configuration of the gateways.
 struct Client::RequestClass {
     Idempotency idempotency;
     const char* method;
@@ -68,11 +71,12 @@
     while (!behaviour_.stopped) {
         co_await sleep_for(
             io_, std::chrono::microseconds(static_cast<std::int64_t>(think_time_ms(random_) * 1000)));
-        if (random_() % rest_one_in == 0)
-            co_await sleep_for(io_, rest + Duration(static_cast<std::int64_t>(random_() % rest_spread_ms)));
+        if (random_() % idle_pause_one_in == 0)
+            co_await sleep_for(
+                io_, idle_pause + Duration(static_cast<std::int64_t>(random_() % idle_pause_spread_ms)));
         const int gateway = choose_gateway();
         if (gateway < 0) {
-            co_await sleep_for(io_, no_gateway_pause);
+            co_await sleep_for(io_, no_gateway_retry_delay);
             continue;
         }
         if (!socket_.is_open() || gateway != gateway_) co_await connect(gateway);
@@ -82,9 +86,10 @@
 
 int Client::choose_gateway() {
     const int count = static_cast<int>(load_balancer_.gateways.size());
-    const int own = number_ % count;
+    const int preferred = number_ % count;
     const auto& in_rotation = load_balancer_.in_rotation;
-    if (in_rotation[static_cast<std::size_t>(own)] && random_() % 10 < own_gateway_in_ten) return own;
+    if (in_rotation[static_cast<std::size_t>(preferred)] && random_() % 10 < preferred_gateway_in_ten)
+        return preferred;
     for (int tries = 0; tries < count; ++tries) {
         const int gateway = static_cast<int>(random_() % static_cast<std::uint64_t>(count));
         if (in_rotation[static_cast<std::size_t>(gateway)]) return gateway;
@@ -161,13 +166,13 @@
     }
     bool closed_unread = false;
     if (error && reused_) closed_unread = true;
-    else if (error) oracle_.excuse(request.trace, "not written whole");
+    else if (error) oracle_.excuse(request.trace, "the request could not be written completely");
     if (!error) co_await await_response(request, closed_unread);
     if (closed_unread) co_await resend(request);
     else if (error) socket_.close(error);
 }
 
-// The time of a request counts from its last byte.
+// The deadline of a request counts from its last byte, so the pause postpones it.
 Task Client::write_in_pieces(Request& request, error_code& error) {
     const std::size_t half = request.text.size() / 2;
     co_await asio::async_write(socket_, asio::buffer(request.text.data(), half), into(error));
@@ -183,7 +188,7 @@
 Task Client::resend(const Request& request) {
     co_await connect(gateway_);
     if (!socket_.is_open())
-        co_return oracle_.excuse(request.trace, "its gateway takes no connections any more");
+        co_return oracle_.excuse(request.trace, "the gateway no longer accepts connections");
     oracle_.request_resent(request.trace, gateway_, Clock::now());
     error_code error;
     co_await asio::async_write(socket_, asio::buffer(request.text), into(error));
@@ -196,9 +201,9 @@
     const int disconnect_one_in =
         behaviour_.disconnects_early ? early_disconnect_one_in : usual_disconnect_one_in;
     const bool disconnects = random_() % disconnect_one_in == 0;
-    const auto left = std::chrono::duration_cast<Duration>(request.deadline - Clock::now());
-    const Time until = disconnects && left > shortest_time_to_disconnect
-                           ? draw_disconnect(left)
+    const auto time_left = std::chrono::duration_cast<Duration>(request.deadline - Clock::now());
+    const Time until = disconnects && time_left > min_time_left_to_disconnect
+                           ? draw_disconnect(time_left)
                            : request.deadline + response_grace + behaviour_.slack;
     Watchdog watchdog(io_, socket_, until);
     http::response_parser<http::string_body> parser;
@@ -211,8 +216,8 @@
     record_response(request, error, parser, closed_unread);
 }
 
-Time Client::draw_disconnect(Duration left) {
-    const auto limit = static_cast<std::uint64_t>(std::min(left, disconnect_within).count());
+Time Client::draw_disconnect(Duration time_left) {
+    const auto limit = static_cast<std::uint64_t>(std::min(time_left, max_time_to_disconnect).count());
     return Clock::now() + Duration(static_cast<std::int64_t>(random_() % limit));
 }
 
@@ -228,7 +233,8 @@
         return;
     }
     socket_.close(ignored);
-    // The client can tell that a response that has begun and breaks off has failed.
+    // A response that breaks off after its first bytes counts as failed, not as unanswered: the client can
+    // see that it is incomplete.
     if (parser.got_some()) return oracle_.response_received(request.trace, 0, {}, now);
     closed_unread = reused_;
     if (!closed_unread) oracle_.closed_unanswered(request.trace, now);
--- a/tools/fault_soak/client.h
+++ b/tools/fault_soak/client.h
@@ -1,4 +1,4 @@
-// Clients that keep to the protocol.
+// Clients that follow the protocol.
 #pragma once
 
 #include <cstdint>
@@ -11,26 +11,30 @@
 
 namespace fault_soak {
 
-// The gateways as a load balancer in front of them sees them.
+// The state of a load balancer in front of the gateways.
 struct LoadBalancer {
     std::vector<tcp::endpoint> gateways;
-    std::vector<bool> in_rotation;  // by gateway: clients may choose it
+    // For each gateway, whether clients may choose it.
+    std::vector<bool> in_rotation;
 };
 
-// What all clients of a run share.
+// Settings that all clients of a run share. They may change during the run.
 struct ClientBehaviour {
-    bool disconnects_early = false;  // many disconnect before their response has come
-    bool stopped = false;            // no further requests
-    Duration slack{100};             // for the machine's own lateness
+    // Many clients disconnect before they have received their response.
+    bool disconnects_early = false;
+    // Clients send no further requests.
+    bool stopped = false;
+    // Added to time limits, because a busy machine can delay the soak itself.
+    Duration slack{100};
 };
 
-// One client with one request at a time, on a connection that it keeps open.
+// One client that sends one request at a time over a persistent connection.
 class Client {
   public:
     // All references must outlive the client.
     Client(asio::io_context& io, int number, std::uint64_t seed, const LoadBalancer& load_balancer,
            const ClientBehaviour& behaviour, Oracle& oracle);
-    // Sends requests until the behaviour is `stopped`.
+    // Sends requests until ClientBehaviour::stopped is set.
     Task run();
 
   private:
@@ -42,7 +46,7 @@
     };
     struct RequestClass;
 
-    // Below 0 where no gateway is in rotation.
+    // Returns the index of a gateway in rotation, or -1 if there is none.
     int choose_gateway();
     Task connect(int gateway);
     Request draw_request();
@@ -50,12 +54,13 @@
     std::string request_text(const RequestClass& request_class, const std::string& trace, int timeout_ms);
     Task exchange(Request request);
     Task write_in_pieces(Request& request, error_code& error);
-    // `closed_unread` becomes true where the connection ended before the request was read.
+    // Sets `closed_unread` if a reused connection was closed before any byte of the response, in which case
+    // the request may not have been read.
     Task await_response(const Request& request, bool& closed_unread);
-    // When to disconnect, within the time `left` until the deadline.
-    Time draw_disconnect(Duration left);
-    // A connection that ends between two requests may cross one that has not been read: the request goes once
-    // more, on a new connection.
+    // Draws the time at which the client disconnects. `time_left` is the time until the deadline.
+    Time draw_disconnect(Duration time_left);
+    // Sends the request once more on a new connection. The gateway may close a persistent connection between
+    // two requests while the next request is on its way, which it then has not read.
     Task resend(const Request& request);
     void record_response(const Request& request, error_code error,
                          const http::response_parser<http::string_body>& parser, bool& closed_unread);
@@ -68,8 +73,10 @@
     Oracle& oracle_;
     tcp::socket socket_;
     boost::beast::flat_buffer buffer_;
-    int gateway_ = -1;     // that the socket is connected to
-    bool reused_ = false;  // the connection has brought a response
+    // Index of the gateway that the socket is connected to.
+    int gateway_ = -1;
+    // Set once a response has been received on the current connection.
+    bool reused_ = false;
     std::uint64_t request_count_ = 0;
 };
 
--- a/tools/fault_soak/clock.h
+++ b/tools/fault_soak/clock.h
@@ -1,4 +1,4 @@
-// The soak's clock and its units of time.
+// The clock and time types of the soak.
 #pragma once
 
 #include <chrono>
@@ -10,6 +10,7 @@
 using Duration = std::chrono::milliseconds;
 using namespace std::chrono_literals;
 
+// Converts a duration to seconds.
 [[nodiscard]] inline double seconds(Clock::duration duration) {
     return std::chrono::duration<double>(duration).count();
 }
--- a/tools/fault_soak/discovery_stub.cpp
+++ b/tools/fault_soak/discovery_stub.cpp
@@ -9,12 +9,13 @@
 namespace {
 
 constexpr Duration change_poll_interval = 5ms;
-// How a slow agent sends a response.
+// A slow agent sends a response in pieces of this size, one per interval.
 constexpr Duration piece_interval = 20ms;
 constexpr std::size_t piece_bytes = 400;
 constexpr unsigned http_1_1 = 11;
 
-// The number behind a key of a query; `fallback` where the key is missing.
+// Returns the number that follows `key` in the query of a request target, or `fallback` if the key is
+// missing.
 std::int64_t query_number(std::string_view target, std::string_view key, std::int64_t fallback) {
     const std::size_t at = target.find(key);
     if (at == std::string_view::npos) return fallback;
@@ -33,9 +34,9 @@
     for (tcp::acceptor& listener : listeners_) asio::co_spawn(io, accept(listener), asio::detached);
 }
 
-void DiscoveryAgent::fall_silent() {
+void DiscoveryAgent::start_silence() {
     faults.silent = true;
-    ++faults.silences;
+    ++faults.silence_count;
 }
 
 Task DiscoveryAgent::accept(tcp::acceptor& listener) {
@@ -71,7 +72,7 @@
 Task DiscoveryAgent::serve(tcp::socket socket) {
     error_code error;
     boost::beast::flat_buffer buffer;
-    const std::size_t silences_at_start = faults.silences;
+    const std::size_t silence_count_at_start = faults.silence_count;
     for (;;) {
         HttpRequest request;
         co_await http::async_read(socket, buffer, request, into(error));
@@ -79,8 +80,9 @@
         const std::string target(request.target());
         const std::int64_t since = query_number(target, "from=", HostList::no_version);
         if (since >= 0) co_await wait_for_change(since, Duration(query_number(target, "hold_ms=", 0)));
-        // A connection that has seen a silence stays silent.
-        if (faults.silent || silences_at_start != faults.silences) {
+        // A connection that was open during a silence gets no response any more and is closed after its next
+        // request.
+        if (faults.silent || silence_count_at_start != faults.silence_count) {
             co_await http::async_read(socket, buffer, request, into(error));
             co_return;
         }
--- a/tools/fault_soak/fault.h
+++ b/tools/fault_soak/fault.h
@@ -1,4 +1,4 @@
-// A fault and its kind.
+// Describes faults: what they change, their kinds, and the faults of a plan.
 #pragma once
 
 #include <cstdint>
@@ -11,29 +11,37 @@
 class FaultInjector;
 struct Fault;
 
-// What a fault changes. No two faults change the same gateway or host at a time: they would undo each other's
-// state.
+// What a fault changes. Two faults never change the same gateway or host at the same time, because each would
+// undo the other's state.
 enum class FaultTarget {
-    gateway,  // the processes, configuration or operators' state of one gateway
-    host,     // one host
-    other,    // links, discovery, system calls or clients: faults of these may overlap
+    // The processes, the configuration or the operators' state of one gateway.
+    gateway,
+    // One host.
+    host,
+    // Links, discovery, system calls or clients. Faults of this target may overlap.
+    other,
 };
 
+// A kind of fault that plans can draw.
 struct FaultKind {
-    // As in plans and on the command line.
+    // The name in printed plans and on the command line.
     const char* name;
     FaultTarget target;
-    // Injects the fault; completes when it is over.
+    // Injects the fault. The coroutine completes when the fault is over.
     Task (*inject)(FaultInjector& injector, const Fault& fault);
 };
 
+// One fault of a plan.
 struct Fault {
-    const FaultKind* kind = nullptr;  // one of fault_kinds()
-    Duration begin{0};                // from the begin of the load
+    // An element of fault_kinds().
+    const FaultKind* kind = nullptr;
+    // Time from the start of the load to the start of the fault.
+    Duration begin{0};
     Duration length{0};
     int gateway = 0;
     int host = 0;
-    std::uint64_t variation = 0;  // a random number for what else a kind draws
+    // A random number from which the kind derives its further parameters.
+    std::uint64_t variation = 0;
 };
 
 }  // namespace fault_soak
--- a/tools/fault_soak/fault_injector.cpp
+++ b/tools/fault_soak/fault_injector.cpp
@@ -9,7 +9,7 @@
 FaultInjector::FaultInjector(Testbed& testbed)
     : testbed_(testbed), host_changing_(testbed.host_stubs.size()) {}
 
-Task FaultInjector::play(Fault fault) {
+Task FaultInjector::run_fault(Fault fault) {
     co_await sleep_for(fault.begin);
     if (!claim_target(fault)) co_return;
     if (testbed_.options.verbose) std::printf("%s\n", describe(fault).c_str());
--- a/tools/fault_soak/fault_injector.h
+++ b/tools/fault_soak/fault_injector.h
@@ -1,5 +1,5 @@
-// Injects faults into the parts of a run, one function for each way of doing so. Which kinds of faults there
-// are is in fault_kinds.cpp.
+// Injects faults into the parts of a run, with one function per mechanism. fault_kinds.cpp maps the kinds of
+// faults to these functions.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,18 @@
 
 namespace fault_soak {
 
-// The coroutines complete when the fault is over and its cause is taken back.
+// The coroutines complete when the fault is over and its cause has been removed.
 class FaultInjector {
   public:
     // The testbed must outlive the injector and its coroutines.
     explicit FaultInjector(Testbed& testbed);
 
-    // Waits for the fault's begin and injects it. A fault whose target another one is changing is left out.
-    Task play(Fault fault);
+    // Waits until the fault begins and injects it. Skips the fault if another fault is changing the same
+    // target.
+    Task run_fault(Fault fault);
+
+    // Faults of gateways (gateway_faults.cpp).
 
-    // ---- gateways (gateway_faults.cpp) ----
     Task restart_gateway(Fault fault);
     Task kill_gateway(Fault fault);
     Task upgrade_gateway(Fault fault);
@@ -30,7 +32,8 @@
     Task ban_host(Fault fault);
     Task put_on_standby(Fault fault);
 
-    // ---- hosts, links and discovery (host_faults.cpp) ----
+    // Faults of hosts, links and discovery (host_faults.cpp).
+
     Task withdraw_host(Fault fault, HostState state);
     Task restart_host(Fault fault);
     Task set_host_mode(Fault fault, HostMode mode);
@@ -39,12 +42,14 @@
     Task reset_link(Fault fault);
     Task delay_link(Fault fault);
     Task silence_discovery(Fault fault);
-    // No effect where lists are pushed: an agent that has them at hand rejects nothing.
+    // Has no effect when lists are pushed, because an agent that has the list at hand never rejects a
+    // request.
     Task reject_discovery_requests(Fault fault);
     Task set_agent_fault(Fault fault, bool AgentFaults::*agent_fault);
 
-    // ---- system calls and clients (machine_faults.cpp) ----
-    // `thousandths`: the share of the calls that get the fault.
+    // Faults of system calls and clients (machine_faults.cpp). `thousandths` is the share of the calls that
+    // get the fault.
+
     Task set_shim_rate(Fault fault, ShimRate rate, std::uint32_t thousandths);
     Task shorten_io(Fault fault, std::uint32_t thousandths);
     Task step_wall_clock(Fault fault);
@@ -55,17 +60,19 @@
     [[nodiscard]] GatewayUnderTest& gateway_of(const Fault& fault);
     [[nodiscard]] HostStub& host_of(const Fault& fault);
     [[nodiscard]] LinkFaults& link_of(const Fault& fault);
-    // Whether the gateway or the host that the fault changes is free; marks it as changing then.
+    // Marks the gateway or host that the fault changes as changing. Returns false if another fault is
+    // changing it.
     [[nodiscard]] bool claim_target(const Fault& fault);
     void release_target(const Fault& fault);
     Task sleep_for(Clock::duration duration);
-    // Polls a process until it has exited or the time is over.
+    // Polls a process until it has exited or the time `until` is reached.
     Task await_exit(GatewayProcess& process, Time until);
-    // `done`: whether the admin server answered 200.
-    Task call_admin_server(const Fault& fault, std::string path, std::string body, bool& done);
+    // Sends a POST request to the admin server. `succeeded` is set to whether it answered 200.
+    Task call_admin_server(const Fault& fault, std::string path, std::string body, bool& succeeded);
 
     Testbed& testbed_;
-    std::vector<bool> host_changing_;  // by a fault now
+    // For each host, whether a fault is changing it now.
+    std::vector<bool> host_changing_;
 };
 
 }  // namespace fault_soak
--- a/tools/fault_soak/fault_kinds.cpp
+++ b/tools/fault_soak/fault_kinds.cpp
@@ -12,68 +12,74 @@
 constexpr std::uint32_t often = 300;
 constexpr std::uint32_t seldom = 50;
 
-// Calls a function of the injector, with further arguments behind the fault.
+// Calls a member function of the injector with the fault and further constant arguments.
 template <auto function, auto... arguments>
 Task inject(FaultInjector& injector, const Fault& fault) {
     return (injector.*function)(fault, arguments...);
 }
 
 constexpr FaultKind table[] = {
-    // ---- gateways ----
-    // SIGTERM, and SIGKILL when the grace period is over.
+    // Faults of gateways.
+
+    // Sends SIGTERM, then SIGKILL when the grace period is over, and starts the gateway again.
     {"gateway_restart", FaultTarget::gateway, inject<&Injector::restart_gateway>},
-    // SIGKILL at once.
+    // Sends SIGKILL at once and starts the gateway again.
     {"gateway_kill", FaultTarget::gateway, inject<&Injector::kill_gateway>},
-    // SIGHUP over a configuration that moves discovery to another address.
+    // Sends SIGHUP after writing a configuration that moves discovery to another address.
     {"gateway_reload", FaultTarget::gateway, inject<&Injector::reload_gateway>},
-    // SIGHUP over a configuration that is half written.
+    // Sends SIGHUP while the configuration file is truncated.
     {"gateway_bad_file", FaultTarget::gateway, inject<&Injector::reload_truncated_file>},
-    // A second process takes over from the first.
+    // Starts a second process, which takes over from the first.
     {"gateway_upgrade", FaultTarget::gateway, inject<&Injector::upgrade_gateway>},
-    // SIGSTOP for a moment.
+    // Stops the process with SIGSTOP for a short time.
     {"gateway_pause", FaultTarget::gateway, inject<&Injector::pause_gateway>},
 
-    // ---- hosts ----
-    // Listed as draining, still answering.
+    // Faults of hosts.
+
+    // The host is listed as draining but still answers.
     {"host_drain", FaultTarget::host, inject<&Injector::withdraw_host, HostState::draining>},
-    // Gone from the list, still answering.
+    // The host is removed from the list but still answers.
     {"host_remove", FaultTarget::host, inject<&Injector::withdraw_host, HostState::gone>},
-    // Down for a while, then back in slow start.
+    // The host is down for a while and then returns in slow start.
     {"host_restart", FaultTarget::host, inject<&Injector::restart_host>},
-    // Takes requests and sends no response.
+    // The host accepts requests but sends no response.
     {"host_hang", FaultTarget::host, inject<&Injector::set_host_mode, HostMode::hanging>},
-    // Resets connections under requests.
+    // The host resets connections that carry a request.
     {"host_reset", FaultTarget::host, inject<&Injector::set_host_mode, HostMode::resetting>},
-    // Answers 500 or 503.
+    // The host answers with status 500 or 503.
     {"host_errors", FaultTarget::host, inject<&Injector::set_host_mode, HostMode::erroring>},
-    // Cut, endless, doubled or unreadable responses.
+    // The host sends truncated, endless, duplicated or unreadable responses.
     {"host_spoilt", FaultTarget::host, inject<&Injector::set_host_mode, HostMode::corrupting>},
+    // The host takes longer to answer.
     {"host_slow", FaultTarget::host, inject<&Injector::set_host_mode, HostMode::slow>},
-    // Ends connections that carry no request.
+    // The host closes or resets connections that carry no request.
     {"host_drops_idle", FaultTarget::host, inject<&Injector::drop_idle_connections>},
 
-    // ---- links between one gateway and one host ----
-    // Carries nothing.
+    // Faults of the link between one gateway and one host.
+
+    // The link forwards no bytes.
     {"link_silent", FaultTarget::other, inject<&Injector::silence_link>},
-    // Its connections are reset.
+    // All connections of the link are reset.
     {"link_reset", FaultTarget::other, inject<&Injector::reset_link>},
-    // What goes over a new connection arrives late.
+    // The first bytes of each new connection arrive late.
     {"link_late", FaultTarget::other, inject<&Injector::delay_link>},
 
-    // ---- discovery at one gateway ----
-    // Takes requests and sends no response.
+    // Faults of the discovery agent of one gateway.
+
+    // The agent accepts requests but sends no response.
     {"discovery_silent", FaultTarget::other, inject<&Injector::silence_discovery>},
-    // Answers 503.
+    // The agent answers with status 503.
     {"discovery_refuses", FaultTarget::other, inject<&Injector::reject_discovery_requests>},
-    // Sends responses in pieces.
+    // The agent sends responses in pieces.
     {"discovery_slow", FaultTarget::other, inject<&Injector::set_agent_fault, &AgentFaults::slow>},
-    // Sends complete lists only.
+    // The agent sends only complete lists.
     {"discovery_whole", FaultTarget::other, inject<&Injector::set_agent_fault, &AgentFaults::complete_lists>},
 
-    // ---- system calls of one gateway, by the shim ----
-    // The wall clock steps by an hour, forth or back.
+    // Faults of system calls of one gateway, which the shim injects.
+
+    // The wall clock steps forward or back by one hour.
     {"wall_clock_step", FaultTarget::other, inject<&Injector::step_wall_clock>},
-    // Reads and writes move fewer bytes than asked for.
+    // Reads and writes transfer fewer bytes than requested.
     {"short_io", FaultTarget::other, inject<&Injector::shorten_io, often>},
     {"interrupted_waits", FaultTarget::other,
      inject<&Injector::set_shim_rate, &ShimControl::interrupted_waits, often>},
@@ -83,23 +89,25 @@
      inject<&Injector::set_shim_rate, &ShimControl::failing_connects, seldom>},
     {"failing_files", FaultTarget::other,
      inject<&Injector::set_shim_rate, &ShimControl::failing_files, often>},
-    // Connections never come up.
+    // Connection attempts never complete.
     {"hanging_connects", FaultTarget::other,
      inject<&Injector::set_shim_rate, &ShimControl::hanging_connects, often>},
-    // Some of the messages to other gateways are lost.
+    // Some of the peer messages to other gateways are lost.
     {"lost_datagrams", FaultTarget::other,
      inject<&Injector::set_shim_rate, &ShimControl::lost_datagrams, often>},
-    // All messages to other gateways are lost.
+    // All peer messages to other gateways are lost.
     {"peers_cut", FaultTarget::other, inject<&Injector::set_shim_rate, &ShimControl::lost_datagrams, always>},
 
-    // ---- clients and operators ----
-    // Half requests, floods, lines without an end, bytes that are no request.
+    // Faults caused by clients and operators.
+
+    // Clients send incomplete requests, floods of bytes, lines without an end and bytes that are not a
+    // request.
     {"bad_clients", FaultTarget::other, inject<&Injector::run_bad_clients>},
-    // Many clients disconnect before their response.
+    // Many clients disconnect before they receive their response.
     {"clients_leave", FaultTarget::other, inject<&Injector::disconnect_clients>},
-    // Operators ban a host at one gateway, and lift the ban.
+    // Operators ban a host at one gateway and lift the ban later.
     {"operator_ban", FaultTarget::gateway, inject<&Injector::ban_host>},
-    // Operators put a gateway on standby, and activate it again.
+    // Operators put a gateway on standby and activate it again later.
     {"operator_standby", FaultTarget::gateway, inject<&Injector::put_on_standby>},
 };
 
--- a/tools/fault_soak/fault_kinds.h
+++ b/tools/fault_soak/fault_kinds.h
@@ -1,4 +1,4 @@
-// The table of all kinds of faults.
+// The table of all fault kinds.
 #pragma once
 
 #include <span>
@@ -8,9 +8,10 @@
 
 namespace fault_soak {
 
-// Plans are drawn by index: the order of the table is part of what a seed means.
+// Returns all fault kinds. Plans draw kinds by index, so a change of the order changes the plan of every
+// seed.
 [[nodiscard]] std::span<const FaultKind> fault_kinds();
-// Null where there is none of that name.
+// Returns the fault kind with the given name, or null if there is none.
 [[nodiscard]] const FaultKind* find_fault_kind(std::string_view name);
 
 }  // namespace fault_soak
--- a/tools/fault_soak/fault_proxy.cpp
+++ b/tools/fault_soak/fault_proxy.cpp
@@ -68,28 +68,28 @@
     pipe->host.set_option(tcp::no_delay(true), error);
     const std::uint16_t port = pipe->host.local_endpoint(error).port();
     pipes_[port] = pipe;
-    asio::co_spawn(io_, carry(link, pipe, Direction::to_gateway), asio::detached);
+    asio::co_spawn(io_, forward(link, pipe, Direction::to_gateway), asio::detached);
     const Duration delay = link.faults.delay;
     if (delay > 0ms) co_await delay_first_bytes(pipe, delay);
-    co_await carry(link, pipe, Direction::to_host);
-    // A later connection may have the same port.
+    co_await forward(link, pipe, Direction::to_host);
+    // A later connection may already have reused the port.
     const auto own = pipes_.find(port);
     if (own != pipes_.end() && own->second.lock() == pipe) pipes_.erase(own);
 }
 
-// The first byte counts from when the gateway wrote it, not from when it goes on.
+// Records the time at which the gateway wrote the first byte, not the later time at which it is forwarded.
 Task FaultProxy::delay_first_bytes(std::shared_ptr<Pipe> pipe, Duration delay) {
     error_code ignored;
     co_await pipe->gateway.async_wait(tcp::socket::wait_read, into(ignored));
-    pipe->origin.first_byte = Clock::now();
+    pipe->origin.first_byte_at = Clock::now();
     pipe->awaits_request = false;
     co_await sleep_for(io_, delay);
 }
 
-Task FaultProxy::carry(Link& link, std::shared_ptr<Pipe> pipe, Direction direction) {
-    const bool carries_requests = direction == Direction::to_host;
-    tcp::socket& source = carries_requests ? pipe->gateway : pipe->host;
-    tcp::socket& target = carries_requests ? pipe->host : pipe->gateway;
+Task FaultProxy::forward(Link& link, std::shared_ptr<Pipe> pipe, Direction direction) {
+    const bool forwards_requests = direction == Direction::to_host;
+    tcp::socket& source = forwards_requests ? pipe->gateway : pipe->host;
+    tcp::socket& target = forwards_requests ? pipe->host : pipe->gateway;
     std::array<char, read_bytes> bytes;
     for (;;) {
         error_code error;
@@ -100,9 +100,9 @@
         }
         if (error == asio::error::eof) co_return pipe->close();
         if (error) co_return pipe->reset_both();
-        if (carries_requests && std::exchange(pipe->awaits_request, false))
-            pipe->origin.first_byte = Clock::now();
-        if (!carries_requests) pipe->awaits_request = true;
+        if (forwards_requests && std::exchange(pipe->awaits_request, false))
+            pipe->origin.first_byte_at = Clock::now();
+        if (!forwards_requests) pipe->awaits_request = true;
         co_await asio::async_write(target, asio::buffer(bytes.data(), size), into(error));
         if (error) co_return pipe->reset_both();
     }
--- a/tools/fault_soak/fault_proxy.h
+++ b/tools/fault_soak/fault_proxy.h
@@ -1,5 +1,5 @@
-// A TCP proxy between gateways and hosts, with an address for each pair, whose links can be cut, reset or
-// delayed.
+// A TCP proxy between gateways and hosts. Each pair of a gateway and a host is a link with an address of its
+// own; links can be cut, reset or delayed.
 #pragma once
 
 #include <cstddef>
@@ -13,31 +13,35 @@
 
 namespace fault_soak {
 
+// The faults of a link that are active now.
 struct LinkFaults {
-    bool silent = false;  // carries nothing; connections with held-up bytes are reset when this ends
-    Duration delay{0};    // of the first bytes of new connections
+    // The link forwards nothing. Connections that received bytes meanwhile are reset when the fault ends.
+    bool silent = false;
+    // Delay of the first bytes of each new connection.
+    Duration delay{0};
 };
 
 class FaultProxy {
   public:
-    // Where a connection to a host comes from.
+    // Which gateway opened a connection to a host.
     struct Origin {
         int gateway = -1;
-        Time first_byte;  // of the latest request
+        // Time of the first byte of the latest request.
+        Time first_byte_at;
     };
 
     FaultProxy(asio::io_context& io, int gateways, std::vector<tcp::endpoint> hosts);
 
-    // The addresses at which one gateway reaches the hosts, in their order.
+    // Returns the addresses at which one gateway reaches the hosts, in the order of the hosts.
     [[nodiscard]] std::vector<std::string> addresses_for(int gateway) const;
     [[nodiscard]] LinkFaults& faults(int gateway, int host) { return link(gateway, host).faults; }
     void reset_connections(int gateway, int host);
-    // Of the connection that comes to a host from that port; null where it does not come from this proxy.
-    // Valid as long as the connection is open.
+    // Returns the origin of the connection that reaches a host from the given source port, or null if the
+    // connection does not come from this proxy. The pointer is valid while the connection is open.
     [[nodiscard]] const Origin* origin(std::uint16_t port) const;
 
   private:
-    // One connection of a gateway and the one to the host behind it.
+    // A connection from a gateway and the matching connection to the host.
     struct Pipe {
         explicit Pipe(asio::io_context& io, tcp::socket&& accepted)
             : gateway(std::move(accepted)), host(io) {}
@@ -63,15 +67,17 @@
         return *links_[static_cast<std::size_t>(gateway) * host_count_ + static_cast<std::size_t>(host)];
     }
     Task accept(Link& link);
-    // Connects to the host and carries bytes both ways until the connection ends.
+    // Connects to the host and forwards bytes in both directions until the connection ends.
     Task run_pipe(Link& link, std::shared_ptr<Pipe> pipe);
     Task delay_first_bytes(std::shared_ptr<Pipe> pipe, Duration delay);
-    Task carry(Link& link, std::shared_ptr<Pipe> pipe, Direction direction);
+    Task forward(Link& link, std::shared_ptr<Pipe> pipe, Direction direction);
 
     asio::io_context& io_;
     std::size_t host_count_;
-    std::vector<std::unique_ptr<Link>> links_;            // by gateway, then by host
-    std::map<std::uint16_t, std::weak_ptr<Pipe>> pipes_;  // by the port towards the host
+    // Ordered by gateway, then by host.
+    std::vector<std::unique_ptr<Link>> links_;
+    // Keyed by the source port of the connection to the host.
+    std::map<std::uint16_t, std::weak_ptr<Pipe>> pipes_;
 };
 
 }  // namespace fault_soak
--- a/tools/fault_soak/final_checks.cpp
+++ b/tools/fault_soak/final_checks.cpp
@@ -11,25 +11,25 @@
 namespace {
 
 constexpr const char* metrics_request = "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n";
-// From this slack on, late responses are put down to the machine.
-constexpr Duration late_response = 500ms;
+// With this slack or more, late responses are attributed to a busy machine and are not counted as faults.
+constexpr Duration late_response_slack = 500ms;
 constexpr Duration shutdown_margin = 1s;
-// In place of a count, where the metrics lack it.
+// Returned in place of a count that the metrics do not contain.
 constexpr std::int64_t unknown_count = -1;
 
-// Nothing where there is no such metric.
+// Returns the value of the metric, or std::nullopt if the metrics do not contain it.
 std::optional<std::int64_t> metric(const std::string& metrics, const std::string& name) {
     const std::size_t at = metrics.find("\n" + name + " ");
     if (at == std::string::npos) return std::nullopt;
     return std::stoll(metrics.substr(at + name.size() + 2));
 }
 
-// What a gateway's own checks have counted.
+// Returns the number of rule violations that the gateway's own checks have counted, or unknown_count.
 std::int64_t reported_faults(const std::string& metrics, Duration slack) {
     const auto all = metric(metrics, "api_gateway_rule_violations_total");
     const auto late = metric(metrics, "api_gateway_late_answers_total");
     if (!all || !late) return unknown_count;
-    return slack >= late_response ? *all - *late : *all;
+    return slack >= late_response_slack ? *all - *late : *all;
 }
 
 bool is_reported_fault(const std::string& log_line) {
@@ -41,7 +41,8 @@
     const HttpResult metrics = co_await testbed.send_request(gateway.admin, metrics_request);
     if (reported_faults(metrics.body, testbed.options.slack) != 0)
         testbed.oracle.report(Invariant::no_reported_fault, "",
-                              concat("its metrics (", metrics.code, "): ", metrics.body), Clock::now());
+                              concat("metrics of a gateway (status ", metrics.code, "): ", metrics.body),
+                              Clock::now());
 }
 
 }  // namespace
@@ -52,15 +53,15 @@
         co_await check_metrics(testbed, gateway);
         gateway.process->signal(SIGTERM);
     }
-    const Time give_up = Clock::now() + OracleSettings{}.longest_deadline + kill_after_longest_deadline +
-                         shutdown_margin + testbed.options.slack;
+    const Time shutdown_deadline = Clock::now() + OracleSettings{}.longest_deadline +
+                                   kill_after_longest_deadline + shutdown_margin + testbed.options.slack;
     for (int number = 0; number < testbed.options.plan.gateways; ++number) {
         GatewayProcess& process = *testbed.gateway(number).process;
-        while (!process.exited() && Clock::now() < give_up)
+        while (!process.exited() && Clock::now() < shutdown_deadline)
             co_await sleep_for(testbed.io, process_poll_interval);
         if (!process.exited() || process.wait_status() != 0)
             testbed.oracle.report(Invariant::no_crash, "",
-                                  concat("gateway ", number, " did not end in good order"), Clock::now());
+                                  concat("gateway ", number, " did not shut down gracefully"), Clock::now());
     }
 }
 
--- a/tools/fault_soak/final_checks.h
+++ b/tools/fault_soak/final_checks.h
@@ -1,4 +1,4 @@
-// The checks at the end of a run, and what the logs say about a request.
+// The checks at the end of a run, and a search of the gateway logs for a request.
 #pragma once
 
 #include <string>
@@ -7,14 +7,16 @@
 
 namespace fault_soak {
 
-// Reads every gateway's metrics, ends its process and reports faults that it has counted itself, and
-// processes that do not shut down gracefully.
+// Reads the metrics of every gateway and shuts its process down. Reports gateways that have counted rule
+// violations, and processes that do not shut down gracefully.
 Task shut_down_gateways(Testbed& testbed);
 
-// Reports whatever a gateway has logged as an error, except for a configuration that could not be read.
+// Reports every log line of level error, except that a configuration could not be read, which faults cause on
+// purpose.
 void check_logs(Testbed& testbed);
 
-// The lines of all gateways' logs that name a request, a line each.
+// Returns the lines of all gateway logs that contain the trace id of a request, each with the name of its
+// gateway.
 [[nodiscard]] std::string log_lines_of(const Testbed& testbed, const std::string& trace);
 
 }  // namespace fault_soak
--- a/tools/fault_soak/gateway_config.h
+++ b/tools/fault_soak/gateway_config.h
@@ -1,4 +1,4 @@
-// The configuration file of a gateway of the run.
+// Generates the configuration file of a gateway.
 #pragma once
 
 #include <cstdint>
@@ -9,22 +9,25 @@
 
 namespace fault_soak {
 
-// What differs between the gateways, runs and reloads. Addresses are as "127.0.0.1:8080".
+// The values that differ between gateways, runs and reloads. Addresses have the form "127.0.0.1:8080".
 struct GatewayConfig {
-    int number = 0;  // its rank
+    // The rank of the gateway.
+    int number = 0;
     int gateways = 1;
     std::uint64_t seed = 0;
     std::string listen;
     std::string admin;
     std::string discovery;
     std::string peer_listen;
-    std::vector<std::string> peers;  // of all gateways, its own included
-    std::string known_list;          // the endpoint list, in discovery's JSON
+    // Peer addresses of all gateways, including this one.
+    std::vector<std::string> peers;
+    // The endpoint list in the JSON format of discovery.
+    std::string known_list;
     bool lists_pushed = true;
     bool may_hedge = false;
 };
 
-// The configuration in JSON. Its time limits and capacities are those of `settings`.
+// Returns the configuration as JSON. Its time limits and capacities are taken from `settings`.
 [[nodiscard]] std::string to_json(const GatewayConfig& config, const OracleSettings& settings);
 
 }  // namespace fault_soak
--- a/tools/fault_soak/gateway_faults.cpp
+++ b/tools/fault_soak/gateway_faults.cpp
@@ -1,4 +1,4 @@
-// Faults of gateways: restarts, kills, upgrades, reloads and what operators do.
+// Faults of gateways: restarts, kills, upgrades, reloads and calls of operators.
 #include <csignal>
 #include <fstream>
 
@@ -9,12 +9,14 @@
 namespace {
 
 constexpr Duration upgrade_ready_within = 6s;
-// A reload has taken the new address of discovery by then; the agent's old address may close.
-constexpr Duration reload_takes = 1500ms;
-constexpr Duration truncated_file_stays = 100ms;
+// Within this time after SIGHUP, the gateway has switched to the new discovery address, so that the old one
+// is no longer needed.
+constexpr Duration reload_time = 1500ms;
+constexpr Duration truncated_file_time = 100ms;
 constexpr std::uint64_t shortest_pause_ms = 50;
 constexpr std::uint64_t pause_spread_ms = 100;
-constexpr int kill_down_time_divisor = 4;  // of the fault's length
+// A killed gateway stays down for the length of the fault divided by this.
+constexpr int kill_down_time_divisor = 4;
 constexpr const char* status_request = "GET /status HTTP/1.1\r\nHost: x\r\n\r\n";
 
 }  // namespace
@@ -28,8 +30,8 @@
     const Time terminated = Clock::now();
     testbed_.oracle.gateway_terminated(fault.gateway, terminated);
     gateway.process->signal(SIGTERM);
-    // The load balancer notices only later; clients use the connections that they have for as long as those
-    // stay open.
+    // The load balancer notices the restart only after a delay. Clients use their connections for as long as
+    // those stay open.
     co_await sleep_for(load_balancer_delay);
     testbed_.set_in_rotation(fault.gateway, false);
     co_await await_exit(*gateway.process, terminated + shutdown_time);
@@ -39,7 +41,8 @@
         while (!gateway.process->exited()) co_await sleep_for(process_poll_interval);
     } else if (gateway.process->wait_status() != 0) {
         testbed_.oracle.report(Invariant::no_crash, "",
-                               concat("gateway ", fault.gateway, " did not end in good order"), Clock::now());
+                               concat("gateway ", fault.gateway, " did not shut down gracefully"),
+                               Clock::now());
     }
     testbed_.oracle.gateway_exited(fault.gateway, Clock::now(), true);
     testbed_.start_process(fault.gateway, gateway.admin);
@@ -63,22 +66,27 @@
     gateway.former_process = std::move(gateway.process);
     testbed_.start_process(fault.gateway, gateway.next_admin);
     HttpResult status;
-    const Time give_up = Clock::now() + upgrade_ready_within + testbed_.options.slack;
-    while (status.code != 200 && Clock::now() < give_up && !gateway.process->exited()) {
+    const Time ready_deadline = Clock::now() + upgrade_ready_within + testbed_.options.slack;
+    while (status.code != 200 && Clock::now() < ready_deadline && !gateway.process->exited()) {
         co_await sleep_for(health_poll_interval);
         status = co_await testbed_.send_request(gateway.next_admin, status_request);
     }
     if (status.code != 200)
-        testbed_.oracle.report(Invariant::ready_in_time, "", concat("upgrade of gateway ", fault.gateway),
-                               Clock::now());
+        testbed_.oracle.report(
+            Invariant::ready_in_time, "",
+            concat("the new process was not ready in time during the upgrade of gateway ", fault.gateway),
+            Clock::now());
     gateway.former_process->signal(SIGTERM);
     co_await await_exit(*gateway.former_process, Clock::now() + shutdown_time);
     if (!gateway.former_process->exited()) {
-        // Destroying it kills it.
+        // The destructor of the process object sends SIGKILL.
         testbed_.oracle.gateway_killed(fault.gateway, Clock::now());
     } else if (gateway.former_process->wait_status() != 0) {
-        testbed_.oracle.report(Invariant::no_crash, "",
-                               concat("the former process of gateway ", fault.gateway), Clock::now());
+        testbed_.oracle.report(
+            Invariant::no_crash, "",
+            concat("the former process did not shut down gracefully after the upgrade of gateway ",
+                   fault.gateway),
+            Clock::now());
     }
     gateway.former_process.reset();
     std::swap(gateway.admin, gateway.next_admin);
@@ -92,13 +100,13 @@
     process->signal(SIGCONT);
 }
 
-// The new configuration names the agent's other address; the old one closes its connections soon.
+// The new configuration contains the other address of the discovery agent.
 Task FaultInjector::reload_gateway(Fault fault) {
     GatewayUnderTest& gateway = gateway_of(fault);
     gateway.agent_address = 1 - gateway.agent_address;
     testbed_.write_config(fault.gateway, gateway.admin);
     gateway.process->signal(SIGHUP);
-    co_await sleep_for(reload_takes);
+    co_await sleep_for(reload_time);
 }
 
 Task FaultInjector::reload_truncated_file(Fault fault) {
@@ -106,37 +114,39 @@
     const std::string config = testbed_.config_json(fault.gateway, gateway.admin);
     std::ofstream(gateway.config) << config.substr(0, fault.variation % config.size());
     gateway.process->signal(SIGHUP);
-    co_await sleep_for(truncated_file_stays);
+    co_await sleep_for(truncated_file_time);
     testbed_.write_config(fault.gateway, gateway.admin);
 }
 
-Task FaultInjector::call_admin_server(const Fault& fault, std::string path, std::string body, bool& done) {
+Task FaultInjector::call_admin_server(const Fault& fault, std::string path, std::string body,
+                                      bool& succeeded) {
     const std::string request =
         concat("POST ", path, " HTTP/1.1\r\nHost: x\r\nContent-Length: ", body.size(), "\r\n\r\n", body);
     const HttpResult result = co_await testbed_.send_request(gateway_of(fault).admin, request);
-    done = result.code == 200;
+    succeeded = result.code == 200;
 }
 
-// A restart forgets a ban: its gateway is not changed by other faults meanwhile.
+// A restarted gateway loses its bans. While this fault holds the gateway as its target, no other fault
+// restarts it.
 Task FaultInjector::ban_host(Fault fault) {
     const std::string uid = testbed_.host_list.hosts()[static_cast<std::size_t>(fault.host)].uid;
-    bool done = false;
-    co_await call_admin_server(fault, "/maintenance/enter", uid, done);
-    if (!done) co_return;
+    bool succeeded = false;
+    co_await call_admin_server(fault, "/maintenance/enter", uid, succeeded);
+    if (!succeeded) co_return;
     testbed_.oracle.host_banned(fault.gateway, fault.host, Clock::now());
     co_await sleep_for(fault.length);
     testbed_.oracle.host_banned(fault.gateway, fault.host, std::nullopt);
-    co_await call_admin_server(fault, "/maintenance/exit", uid, done);
+    co_await call_admin_server(fault, "/maintenance/exit", uid, succeeded);
 }
 
 Task FaultInjector::put_on_standby(Fault fault) {
-    bool done = false;
-    co_await call_admin_server(fault, "/standby", "", done);
-    if (!done) co_return;
+    bool succeeded = false;
+    co_await call_admin_server(fault, "/standby", "", succeeded);
+    if (!succeeded) co_return;
     co_await sleep_for(load_balancer_delay);
     testbed_.set_in_rotation(fault.gateway, false);
     co_await sleep_for(fault.length);
-    co_await call_admin_server(fault, "/active", "", done);
+    co_await call_admin_server(fault, "/active", "", succeeded);
     co_await testbed_.await_health(fault.gateway);
 }
 
--- a/tools/fault_soak/gateway_process.cpp
+++ b/tools/fault_soak/gateway_process.cpp
@@ -29,7 +29,7 @@
     return variables;
 }
 
-// A null-terminated array of pointers into `texts`.
+// Returns a null-terminated array of pointers into `texts`.
 std::vector<char*> pointers_to(std::vector<std::string>& texts) {
     std::vector<char*> pointers;
     for (std::string& text : texts) pointers.push_back(text.data());
@@ -50,25 +50,27 @@
     for (const int standard : {STDOUT_FILENO, STDERR_FILENO})
         posix_spawn_file_actions_addopen(&actions, standard, log_.c_str(), O_WRONLY | O_CREAT | O_APPEND,
                                          log_mode);
-    // The soak's descriptors must not stay open in a gateway: a client's disconnect would not be noticed.
+    // The gateway must not inherit the descriptors of the soak: a socket that stays open in the gateway would
+    // hide a client's disconnect.
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
-    const int error = posix_spawn(&id_, program.c_str(), &actions, nullptr, arguments, environment.data());
+    const int error =
+        posix_spawn(&process_id_, program.c_str(), &actions, nullptr, arguments, environment.data());
     posix_spawn_file_actions_destroy(&actions);
-    if (error != 0) throw std::runtime_error("can't start " + program);
+    if (error != 0) throw std::runtime_error("cannot start the gateway program " + program);
 }
 
 GatewayProcess::~GatewayProcess() {
     if (exited()) return;
     signal(SIGKILL);
-    ::waitpid(id_, nullptr, 0);
+    ::waitpid(process_id_, nullptr, 0);
 }
 
 void GatewayProcess::signal(int number) const {
-    if (!exited_) ::kill(id_, number);
+    if (!exited_) ::kill(process_id_, number);
 }
 
 bool GatewayProcess::exited() {
-    if (!exited_ && ::waitpid(id_, &wait_status_, WNOHANG) == id_) exited_ = true;
+    if (!exited_ && ::waitpid(process_id_, &wait_status_, WNOHANG) == process_id_) exited_ = true;
     return exited_;
 }
 
--- a/tools/fault_soak/gateway_process.h
+++ b/tools/fault_soak/gateway_process.h
@@ -1,4 +1,4 @@
-// One process of a gateway.
+// Starts, signals and monitors one gateway process.
 #pragma once
 
 #include <sys/types.h>
@@ -8,36 +8,40 @@
 
 namespace fault_soak {
 
-// What a gateway process is started with.
+// The parameters of a new gateway process.
 struct GatewayProcessOptions {
     std::filesystem::path program;
-    std::filesystem::path shim;    // a library to preload; empty: none
-    std::filesystem::path folder;  // the gateway's own: control file, logs and temporary files
+    // Shim library to preload. Empty for none.
+    std::filesystem::path shim;
+    // Folder of this gateway with its control file, logs and temporary files.
+    std::filesystem::path folder;
     std::filesystem::path config;
-    int number = 0;  // among the processes of its gateway; names the log
+    // Number of the process among those of the same gateway; part of the name of the log file.
+    int number = 0;
     std::uint64_t shim_seed = 0;
 };
 
+// A running gateway process, whose output goes to a log file.
 class GatewayProcess {
   public:
-    // Throws std::runtime_error where the program cannot be started.
+    // Throws std::runtime_error if the program cannot be started.
     explicit GatewayProcess(const GatewayProcessOptions& options);
-    // Kills the process where it still runs.
+    // Kills the process if it still runs.
     ~GatewayProcess();
     GatewayProcess(const GatewayProcess&) = delete;
     GatewayProcess& operator=(const GatewayProcess&) = delete;
 
-    // No effect once exited() has been true.
+    // Sends a signal. Has no effect once exited() has returned true.
     void signal(int number) const;
-    // Polls the process.
+    // Polls the process and returns whether it has exited.
     [[nodiscard]] bool exited();
-    // Of waitpid(), once exited() has been true: 0 for a graceful shutdown.
+    // Returns the status from waitpid() once exited() has returned true; 0 after a graceful shutdown.
     [[nodiscard]] int wait_status() const noexcept { return wait_status_; }
     [[nodiscard]] const std::filesystem::path& log() const noexcept { return log_; }
 
   private:
     std::filesystem::path log_;
-    pid_t id_ = -1;
+    pid_t process_id_ = -1;
     int wait_status_ = 0;
     bool exited_ = false;
 };
--- a/tools/fault_soak/host_faults.cpp
+++ b/tools/fault_soak/host_faults.cpp
@@ -4,9 +4,11 @@
 namespace fault_soak {
 namespace {
 
-constexpr int restart_down_time_divisor = 3;  // of the fault's length
+// A restarted host stays down for the length of the fault divided by this.
+constexpr int restart_down_time_divisor = 3;
 constexpr std::uint64_t link_delay_limit_ms = 1000;
-constexpr std::int64_t not_restarted = 0;  // in place of a host's boot time
+// Boot time of a host that has not restarted.
+constexpr std::int64_t not_restarted = 0;
 
 std::int64_t unix_ms() {
     return std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()).count();
@@ -64,11 +66,11 @@
 Task FaultInjector::silence_discovery(Fault fault) {
     DiscoveryAgent& agent = *gateway_of(fault).agent;
     if (agent.faults.silent) co_return;
-    agent.fall_silent();
+    agent.start_silence();
     co_await sleep_for(fault.length);
     agent.faults.silent = false;
-    testbed_.note_pushed_list(fault.gateway, Clock::now());
-    if (!testbed_.lists_pushed) co_await testbed_.note_polled_list(fault.gateway, Clock::now());
+    testbed_.record_pushed_list(fault.gateway, Clock::now());
+    if (!testbed_.lists_pushed) co_await testbed_.record_polled_list(fault.gateway, Clock::now());
 }
 
 Task FaultInjector::reject_discovery_requests(Fault fault) {
--- a/tools/fault_soak/host_list.h
+++ b/tools/fault_soak/host_list.h
@@ -1,4 +1,4 @@
-// The hosts of the run as discovery lists them.
+// The endpoint list that the discovery stub serves.
 #pragma once
 
 #include <cstddef>
@@ -13,33 +13,38 @@
 
 enum class HostState { ready, draining, gone };
 
+// One host of the endpoint list.
 struct ListedHost {
     std::string uid;
     std::string zone;
     HostState state = HostState::ready;
-    std::int64_t boot_ms = 0;  // Unix time of its last start, in milliseconds; 0: long ago
+    // Unix time of the host's last start in milliseconds, or 0 if it started long ago.
+    std::int64_t boot_ms = 0;
 };
 
-// The endpoint list, with a version that every change increments.
+// The endpoint list. Every change increments its version.
 class HostList {
   public:
-    // In place of a version: gets the complete list.
+    // In place of a version, requests the complete list.
     static constexpr std::int64_t no_version = -1;
 
-    // `hosts` ready hosts, spread over two zones.
+    // Creates a list of `hosts` ready hosts, spread over two zones.
     explicit HostList(int hosts);
 
+    // Sets the state and boot time of a host.
     void change(int host, HostState state, std::int64_t boot_ms);
     [[nodiscard]] std::int64_t version() const noexcept { return version_; }
     [[nodiscard]] const std::vector<ListedHost>& hosts() const noexcept { return hosts_; }
-    // The list in discovery's JSON for one gateway, for which each host has an address of its own. `since`:
-    // the version that the gateway has; it gets what has changed since, or the complete list for no_version.
+    // Returns the list in the JSON format of discovery for one gateway, which reaches the hosts at
+    // `addresses`. `since` is the version that the gateway has: the result contains the changes since then,
+    // or the complete list for no_version.
     [[nodiscard]] std::string json(const std::vector<std::string>& addresses, std::int64_t since) const;
 
   private:
     std::int64_t version_ = 1;
     std::vector<ListedHost> hosts_;
-    std::vector<std::pair<std::int64_t, std::size_t>> changes_;  // version and host
+    // Version and index of the changed host, for each change.
+    std::vector<std::pair<std::int64_t, std::size_t>> changes_;
 };
 
 }  // namespace fault_soak
--- a/tools/fault_soak/host_stub.cpp
+++ b/tools/fault_soak/host_stub.cpp
@@ -9,13 +9,15 @@
 
 using Outcome = Oracle::HostOutcome;
 
-constexpr int max_in_flight = 6;  // requests; more are rejected
+// Further requests are rejected as not executed.
+constexpr int max_in_flight = 6;
 constexpr double mean_work_ms = 15;
 constexpr double mean_slow_work_ms = 400;
 constexpr Duration mode_poll_interval = 20ms;
 constexpr Duration second_response_delay = 5ms;
 constexpr Duration idle_poll_interval = 50ms;
-constexpr Duration idle_timeout = 3s;  // as in the settings of the run
+// Equal to connIdleUs in the configuration of the gateways.
+constexpr Duration idle_timeout = 3s;
 constexpr std::size_t large_body_bytes = 200 * 1024;
 constexpr int large_body_one_in = 50;
 constexpr const char* not_executed_field = "X-Never-Ran: 1\r\n";
@@ -55,7 +57,7 @@
     }
 }
 
-// As the protocol has it: a connection that has been idle for the settings' time ends.
+// The protocol requires a host to close a connection that has been idle for the configured time.
 Task HostStub::close_idle_connections() {
     for (;;) {
         co_await sleep_for(io_, idle_poll_interval);
@@ -80,17 +82,18 @@
     }
 }
 
-HostStub::Exchange HostStub::record_attempt(const HttpRequest& request, const FaultProxy::Origin& origin) {
-    Exchange exchange;
-    exchange.trace = std::string(request["X-Trace-Id"]);
+HostStub::AttemptRecord HostStub::record_attempt(const HttpRequest& request,
+                                                 const FaultProxy::Origin& origin) {
+    AttemptRecord record;
+    record.trace = std::string(request["X-Trace-Id"]);
     const std::int64_t forwarded_ms = std::atoll(std::string(request["X-Expires-In-Ms"]).c_str());
-    exchange.attempt = oracle_.attempt_received(exchange.trace, origin.gateway, number_, zone_,
-                                                origin.first_byte, Clock::now(), forwarded_ms);
-    return exchange;
+    record.attempt = oracle_.attempt_received(record.trace, origin.gateway, number_, zone_,
+                                              origin.first_byte_at, Clock::now(), forwarded_ms);
+    return record;
 }
 
-void HostStub::record_outcome(const Exchange& exchange, Outcome outcome, const std::string& body) {
-    oracle_.attempt_ended(exchange.trace, exchange.attempt, outcome, body);
+void HostStub::record_outcome(const AttemptRecord& record, Outcome outcome, const std::string& body) {
+    oracle_.attempt_ended(record.trace, record.attempt, outcome, body);
 }
 
 Task HostStub::serve(std::shared_ptr<Connection> connection) {
@@ -112,8 +115,8 @@
             co_await respond_to_health_check(*socket);
             continue;
         }
-        const Exchange exchange = record_attempt(request, *origin);
-        co_await respond(*socket, exchange);
+        const AttemptRecord record = record_attempt(request, *origin);
+        co_await respond(*socket, record);
     }
 }
 
@@ -139,35 +142,36 @@
     co_await send(socket, head(200, load_report_field, 0));
 }
 
-Task HostStub::respond(tcp::socket& socket, const Exchange& exchange) {
+Task HostStub::respond(tcp::socket& socket, const AttemptRecord& record) {
     co_await wait_while_hanging();
     if (mode_ == HostMode::erroring && random_() % 2 == 0)
-        co_return co_await respond_unexecuted(socket, exchange);
-    if (in_flight_ >= max_in_flight) co_return co_await respond_unexecuted(socket, exchange);
+        co_return co_await respond_unexecuted(socket, record);
+    if (in_flight_ >= max_in_flight) co_return co_await respond_unexecuted(socket, record);
     co_await execute();
-    if (mode_ == HostMode::erroring) co_return co_await respond_with_error(socket, exchange);
+    if (mode_ == HostMode::erroring) co_return co_await respond_with_error(socket, record);
     if (mode_ == HostMode::resetting && random_() % 2 == 0) co_return reset(socket);
-    if (mode_ == HostMode::corrupting) co_return co_await respond_corrupted(socket, exchange);
+    if (mode_ == HostMode::corrupting) co_return co_await respond_corrupted(socket, record);
     ++served_;
-    std::string body = concat(exchange.trace, ":", number_, ":", served_);
+    std::string body = concat(record.trace, ":", number_, ":", served_);
     if (random_() % large_body_one_in == 0) body.append(large_body_bytes, 'x');
-    record_outcome(exchange, Outcome::success, body);
+    record_outcome(record, Outcome::success, body);
     co_await send(socket, head(200, load_report_field, body.size()) + body);
 }
 
-Task HostStub::respond_unexecuted(tcp::socket& socket, const Exchange& exchange) {
-    record_outcome(exchange, Outcome::not_executed);
+Task HostStub::respond_unexecuted(tcp::socket& socket, const AttemptRecord& record) {
+    record_outcome(record, Outcome::not_executed);
     co_await send(socket, head(503, not_executed_field, 0));
 }
 
-Task HostStub::respond_with_error(tcp::socket& socket, const Exchange& exchange) {
-    record_outcome(exchange, Outcome::error);
+Task HostStub::respond_with_error(tcp::socket& socket, const AttemptRecord& record) {
+    record_outcome(record, Outcome::error);
     co_await send(socket, head(500, "", 0));
 }
 
-// The text is built here from plain pieces: a corrupted response must not pass for one that was given.
-Task HostStub::respond_corrupted(tcp::socket& socket, const Exchange& exchange) {
-    const std::string body = exchange.trace + ":spoilt";
+// The responses are assembled from plain strings. Only the last variation records a successful outcome, so
+// that the oracle does not accept a corrupted response as genuine.
+Task HostStub::respond_corrupted(tcp::socket& socket, const AttemptRecord& record) {
+    const std::string body = record.trace + ":spoilt";
     std::string truncated = head(200, "", body.size() + 100) + body;
     std::string endless = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;";
     std::string without_length = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body;
@@ -178,13 +182,13 @@
         case 1:
             endless.append(large_body_bytes, '1');
             co_return co_await send(socket, endless);
-        case 2:  // a reset in place of the end
+        case 2:  // The connection is reset where its close would end the body.
             co_await send(socket, without_length);
             co_return reset(socket);
         case 3:
             co_return co_await send(socket, "nothing that HTTP knows\r\n\r\n");
-        default:  // a second response some milliseconds behind the first
-            record_outcome(exchange, Outcome::success, body);
+        default:  // A second response follows some milliseconds after the first.
+            record_outcome(record, Outcome::success, body);
             co_await send(socket, head(200, "", body.size()) + body);
             co_await sleep_for(io_, second_response_delay);
             co_await send(socket, head(200, "", 6) + "second");
--- a/tools/fault_soak/host_stub.h
+++ b/tools/fault_soak/host_stub.h
@@ -1,5 +1,5 @@
-// Stubs of the hosts, written from their public protocol: they serve, fail and misbehave as they are set to,
-// and report each attempt to the oracle.
+// Stubs of the hosts, which implement the public protocol independently of the gateway's code. Their mode
+// determines whether they serve, fail or violate the protocol. They report each attempt to the oracle.
 #pragma once
 
 #include <cstdint>
@@ -14,34 +14,44 @@
 
 namespace fault_soak {
 
+// How a host stub treats requests.
 enum class HostMode {
     serving,
-    hanging,     // takes requests and sends no response until the mode changes
-    resetting,   // resets every second connection under its request
-    erroring,    // answers every second request with 503 unexecuted, the others with 500
-    corrupting,  // cut, endless, doubled or unreadable responses
+    // Accepts requests and sends no response until the mode changes.
+    hanging,
+    // Resets the connection in place of a response to about every second request.
+    resetting,
+    // Answers about every second request with 503 without executing it, and the others with 500.
+    erroring,
+    // Sends truncated, endless, duplicated or unreadable responses.
+    corrupting,
+    // Takes longer to answer.
     slow,
-    down,  // resets every connection
+    // Resets every connection.
+    down,
 };
 
+// One host.
 class HostStub {
   public:
     // `oracle` must outlive the stub.
     HostStub(asio::io_context& io, int number, std::string zone, std::uint64_t seed, Oracle& oracle);
 
     [[nodiscard]] tcp::endpoint endpoint() const { return listener_.local_endpoint(); }
-    // Before the first request. The proxy knows which gateway a connection comes from.
+    // Sets the proxy that knows which gateway a connection comes from. Must be called before the first
+    // request.
     void use_proxy(const FaultProxy& proxy) { proxy_ = &proxy; }
-    // HostMode::down and HostMode::resetting reset all open connections.
+    // Sets the mode. HostMode::down and HostMode::resetting also reset all open connections.
     void set_mode(HostMode mode);
-    // Ends the connections that carry no request now, with a reset or in good order.
+    // Ends the connections that carry no request now, by a reset or by an orderly close.
     void drop_idle(bool with_reset);
 
   private:
-    // A request that the oracle knows of.
-    struct Exchange {
+    // Identifies an attempt that was reported to the oracle.
+    struct AttemptRecord {
         std::string trace;
-        std::size_t attempt = 0;  // as Oracle::attempt_received() gave it
+        // The index that Oracle::attempt_received() returned.
+        std::size_t attempt = 0;
     };
     struct Connection {
         explicit Connection(tcp::socket&& accepted) : socket(std::move(accepted)) {}
@@ -54,15 +64,16 @@
     Task close_idle_connections();
     Task serve(std::shared_ptr<Connection> connection);
     Task respond_to_health_check(tcp::socket& socket);
-    Task respond(tcp::socket& socket, const Exchange& exchange);
-    Task respond_unexecuted(tcp::socket& socket, const Exchange& exchange);
-    Task respond_with_error(tcp::socket& socket, const Exchange& exchange);
-    Task respond_corrupted(tcp::socket& socket, const Exchange& exchange);
+    Task respond(tcp::socket& socket, const AttemptRecord& record);
+    Task respond_unexecuted(tcp::socket& socket, const AttemptRecord& record);
+    Task respond_with_error(tcp::socket& socket, const AttemptRecord& record);
+    Task respond_corrupted(tcp::socket& socket, const AttemptRecord& record);
     Task execute();
     Task wait_while_hanging();
     Task send(tcp::socket& socket, std::string text);
-    Exchange record_attempt(const HttpRequest& request, const FaultProxy::Origin& origin);
-    void record_outcome(const Exchange& exchange, Oracle::HostOutcome outcome, const std::string& body = {});
+    AttemptRecord record_attempt(const HttpRequest& request, const FaultProxy::Origin& origin);
+    void record_outcome(const AttemptRecord& record, Oracle::HostOutcome outcome,
+                        const std::string& body = {});
 
     asio::io_context& io_;
     int number_;
--- a/tools/fault_soak/http_request.cpp
+++ b/tools/fault_soak/http_request.cpp
@@ -17,7 +17,7 @@
     HttpResponse response;
     if (!error) co_await http::async_read(socket, buffer, response, into(error));
     timer.cancel();
-    // The timer's handler refers to the socket: it runs before this coroutine ends.
+    // The handler of the timer refers to the socket, so it has to run before this coroutine ends.
     co_await asio::post(io, asio::use_awaitable);
     co_return HttpResult{error ? 0 : response.result_int(), response.body()};
 }
--- a/tools/fault_soak/http_request.h
+++ b/tools/fault_soak/http_request.h
@@ -1,4 +1,4 @@
-// One HTTP request on a connection of its own, as operators and load balancers send them.
+// Sends single HTTP requests, each over a new connection, as operators and load balancers do.
 #pragma once
 
 #include <string>
@@ -7,12 +7,14 @@
 
 namespace fault_soak {
 
+// The status and body of a response.
 struct HttpResult {
-    unsigned code = 0;  // 0: no response
+    // HTTP status, or 0 if there was no response.
+    unsigned code = 0;
     std::string body;
 };
 
-// `request`: its bytes. No response within `timeout` counts as none.
+// Sends the bytes of `request`. The result has code 0 if no response arrives within `timeout`.
 [[nodiscard]] asio::awaitable<HttpResult> send_http_request(asio::io_context& io, tcp::endpoint server,
                                                             std::string request, Duration timeout);
 
--- a/tools/fault_soak/loopback_ports.cpp
+++ b/tools/fault_soak/loopback_ports.cpp
@@ -31,12 +31,12 @@
 LoopbackPorts::LoopbackPorts()
     : last_(static_cast<std::uint16_t>(first_port + ::getpid() % range_count * ports_per_range)) {}
 
-std::uint16_t LoopbackPorts::take() {
+std::uint16_t LoopbackPorts::allocate() {
     for (int tries = 0; tries < ports_per_range; ++tries) {
         ++last_;
         if (is_free(last_)) return last_;
     }
-    throw std::runtime_error("no free port on loopback");
+    throw std::runtime_error("no free loopback port in the port range of this process");
 }
 
 }  // namespace fault_soak
--- a/tools/fault_soak/loopback_ports.h
+++ b/tools/fault_soak/loopback_ports.h
@@ -1,19 +1,20 @@
-// Ports of loopback for the gateways of a run.
+// Allocates loopback ports for the gateways of a run.
 #pragma once
 
 #include <cstdint>
 
 namespace fault_soak {
 
-// Gives out ports that nobody listens on, from below those that the system gives out itself. Soaks that run
-// at the same time usually take theirs from other ranges.
+// Allocates ports that no process is bound to, from below the ephemeral port range of the system. The range
+// depends on the process id, so that soaks that run at the same time usually use different ranges.
 class LoopbackPorts {
   public:
     LoopbackPorts();
-    // A port that is free for TCP and UDP. Throws std::runtime_error where the range has none.
-    [[nodiscard]] std::uint16_t take();
+    // Returns a port that is free for TCP and UDP. Throws std::runtime_error if the range has none.
+    [[nodiscard]] std::uint16_t allocate();
 
   private:
+    // The port that was tried last.
     std::uint16_t last_;
 };
 
--- a/tools/fault_soak/machine_faults.cpp
+++ b/tools/fault_soak/machine_faults.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr std::int64_t clock_step_s = 3600;
-constexpr std::uint64_t bad_clients_at_once = 6;
-constexpr Duration bad_clients_take = 4s;
+constexpr std::uint64_t bad_clients_per_fault = 6;
+constexpr Duration bad_clients_time = 4s;
 
 }  // namespace
 
@@ -38,14 +38,14 @@
     BadClientOptions options;
     options.gateway = testbed_.load_balancer.gateways[static_cast<std::size_t>(fault.gateway)];
     options.slack = testbed_.options.slack;
-    options.gateway_runs = [&gateway, process_count] {
+    options.is_gateway_running = [&gateway, process_count] {
         return gateway.process_count == process_count && !gateway.changing;
     };
-    for (std::uint64_t client = 0; client < bad_clients_at_once; ++client) {
+    for (std::uint64_t client = 0; client < bad_clients_per_fault; ++client) {
         options.variation = fault.variation + client;
         asio::co_spawn(testbed_.io, run_bad_client(testbed_.io, options, testbed_.oracle), asio::detached);
     }
-    co_await sleep_for(bad_clients_take);
+    co_await sleep_for(bad_clients_time);
 }
 
 Task FaultInjector::disconnect_clients(Fault fault) {
--- a/tools/fault_soak/mapped_control.cpp
+++ b/tools/fault_soak/mapped_control.cpp
@@ -18,7 +18,7 @@
                                         : ::mmap(nullptr, sizeof(ShimControl), PROT_READ | PROT_WRITE,
                                                  MAP_SHARED, descriptor, 0);
     if (descriptor >= 0) ::close(descriptor);
-    if (mapped == MAP_FAILED) throw std::runtime_error("can't map " + file.string());
+    if (mapped == MAP_FAILED) throw std::runtime_error("cannot map the control file " + file.string());
     control_ = new (mapped) ShimControl;
 }
 
--- a/tools/fault_soak/mapped_control.h
+++ b/tools/fault_soak/mapped_control.h
@@ -1,4 +1,4 @@
-// The soak's side of the control file that the shims of a gateway's processes map.
+// Maps the control file through which the soak controls the shim in the processes of a gateway.
 #pragma once
 
 #include <filesystem>
@@ -7,9 +7,10 @@
 
 namespace fault_soak {
 
+// A writable memory mapping of a control file.
 class MappedControl {
   public:
-    // Writes a new file and maps it. Throws std::runtime_error where it cannot be mapped.
+    // Creates a file without faults and maps it. Throws std::runtime_error if it cannot be mapped.
     explicit MappedControl(const std::filesystem::path& file);
     ~MappedControl();
     MappedControl(const MappedControl&) = delete;
--- a/tools/fault_soak/oracle.cpp
+++ b/tools/fault_soak/oracle.cpp
@@ -10,37 +10,37 @@
 namespace fault_soak {
 namespace {
 
-// In the order of Invariant.
+// Ordered as the enumerators of Invariant.
 constexpr std::array invariant_names{"lost",        "duplicate",       "drain",         "refusal",
                                      "after_leave", "wrong_answer",    "told_too_long", "crash",
                                      "not_ready",   "bad_client_kept", "cold_host",     "own_guard"};
-// In the order of Oracle::HostOutcome.
+// Ordered as the enumerators of Oracle::HostOutcome.
 constexpr std::array outcome_names{"nothing", "served", "failed", "never ran"};
 
-// Every limit of the protocol is extended by this much on sockets.
+// Extension of each time limit of the protocol when it is observed over sockets.
 constexpr Duration socket_slack = 50ms;
-// A gateway may be delayed by this much between its look at the clock and its write.
+// A gateway may be delayed by this much between reading the clock and writing to the socket.
 constexpr Duration write_delay = 150ms;
-// A response this long after the client's deadline counts as lost.
+// A response that arrives this long after the client's deadline counts as lost.
 constexpr Duration lost_after = 500ms;
-// An attempt may begin so long after its client has disconnected.
+// An attempt may still begin this long after its client has disconnected.
 constexpr Duration disconnect_grace = 100ms;
 // The deadline forwarded to a host may exceed the client's by this much.
 constexpr Duration deadline_slack = 150ms;
-// Requests that come later than this after SIGTERM may be unanswered at SIGKILL.
+// Requests that are sent later than this after SIGTERM may still be unanswered when SIGKILL comes.
 constexpr Duration accept_after_terminate = 700ms;
-// Requests sent so long after the exit may still have met the process.
+// Requests that are sent up to this long after the exit may still have reached the process.
 constexpr Duration exit_notice = 1s;
 constexpr Duration ready_within = 10s;
-// From SIGKILL until no connection of the process takes anything.
+// Time from SIGKILL until no connection of the process accepts data any more.
 constexpr Duration kill_delay = 50ms;
 constexpr unsigned status_ok = 200;
 constexpr unsigned status_too_many_requests = 429;
 constexpr unsigned status_unavailable = 503;
 constexpr std::size_t quoted_body_bytes = 60;
 
-// The number of attempts that a Poisson process of mean `budget` exceeds only by a rare chance.
-double with_chance(double budget) {
+// Returns a limit that a Poisson-distributed number of attempts with mean `budget` exceeds only rarely.
+double poisson_limit(double budget) {
     return budget < 30 ? budget + 3 * std::sqrt(budget) + 3 : budget + 2 * std::sqrt(budget) + 2;
 }
 
@@ -53,7 +53,7 @@
       gateways_(static_cast<std::size_t>(gateways)),
       hosts_(static_cast<std::size_t>(hosts)) {
     for (HostHistory& host : hosts_) {
-        host.known.resize(gateways_.size());
+        host.known_since.resize(gateways_.size());
         host.banned.resize(gateways_.size());
     }
 }
@@ -66,12 +66,10 @@
 void Oracle::report(Invariant invariant, const std::string& trace, const std::string& text, Time at) {
     violations_.push_back({invariant, at, trace, text});
 }
-void Oracle::note(Request& request, Time at, std::string text) {
+void Oracle::record_event(Request& request, Time at, std::string text) {
     request.events.emplace_back(at, std::move(text));
 }
 
-// ---- gateways ----
-
 void Oracle::gateway_started(int gateway, Time at) {
     GatewayHistory& history = gateway_history(gateway);
     history.started = at;
@@ -80,23 +78,21 @@
 void Oracle::gateway_ready(int gateway, Time at) {
     const auto& started = gateway_history(gateway).started;
     if (started && at - *started > ready_within + settings_.slack)
-        report(Invariant::ready_in_time, "", concat("gateway ", gateway), at);
+        report(Invariant::ready_in_time, "", concat("start took too long: gateway ", gateway), at);
 }
 void Oracle::gateway_terminated(int gateway, Time at) { gateway_history(gateway).terminated = at; }
 void Oracle::gateway_killed(int gateway, Time at) { gateway_history(gateway).kills.push_back(at); }
 void Oracle::gateway_exited(int gateway, Time at, bool expected) {
     GatewayHistory& history = gateway_history(gateway);
-    if (!expected) report(Invariant::no_crash, "", concat("gateway ", gateway, " ended unasked"), at);
+    if (!expected) report(Invariant::no_crash, "", concat("gateway ", gateway, " exited unexpectedly"), at);
     if (history.terminated) history.shutdowns.emplace_back(*history.terminated, at);
 }
 
-// ---- discovery ----
-
 void Oracle::host_withdrawn(int host, Time at) {
     HostHistory& history = host_history(host);
     if (history.withdrawn) return;
     history.withdrawn = at;
-    std::fill(history.known.begin(), history.known.end(), std::nullopt);
+    std::fill(history.known_since.begin(), history.known_since.end(), std::nullopt);
 }
 void Oracle::host_returned(int host, Time at, bool restarted) {
     HostHistory& history = host_history(host);
@@ -106,16 +102,15 @@
 }
 void Oracle::list_delivered(int gateway, Time list_time, Time at) {
     for (HostHistory& host : hosts_) {
-        auto& known = host.known[static_cast<std::size_t>(gateway)];
-        if (host.withdrawn && *host.withdrawn <= list_time && (!known || at < *known)) known = at;
+        auto& known_since = host.known_since[static_cast<std::size_t>(gateway)];
+        if (host.withdrawn && *host.withdrawn <= list_time && (!known_since || at < *known_since))
+            known_since = at;
     }
 }
 void Oracle::host_banned(int gateway, int host, std::optional<Time> at) {
     host_history(host).banned[static_cast<std::size_t>(gateway)] = at;
 }
 
-// ---- clients ----
-
 void Oracle::request_sent(const std::string& trace, Idempotency idempotency, int gateway, Time at,
                           Time deadline) {
     Request& request = requests_[trace];
@@ -123,7 +118,7 @@
     request.gateway = gateway;
     request.sent = at;
     request.deadline = deadline;
-    note(request, at, concat("sent to gateway ", gateway));
+    record_event(request, at, concat("sent to gateway ", gateway));
     ++counts_.requests;
 }
 void Oracle::request_resent(const std::string& trace, int gateway, Time at) {
@@ -131,31 +126,33 @@
     request.gateway = gateway;
     request.sent = at;
     request.closed = false;
-    note(request, at, concat("sent again, as its connection ended unread, to gateway ", gateway));
+    record_event(
+        request, at,
+        concat("resent because its connection closed before the request was read, to gateway ", gateway));
 }
 void Oracle::client_disconnected(const std::string& trace, Time at) {
     Request& request = requests_[trace];
     request.disconnected = at;
     ++counts_.disconnected;
-    note(request, at, "client left");
+    record_event(request, at, "client disconnected");
 }
 void Oracle::excuse(const std::string& trace, const char* reason) {
     Request& request = requests_[trace];
     request.excused = true;
-    note(request, Clock::now(), reason);
+    record_event(request, Clock::now(), reason);
 }
 void Oracle::closed_unanswered(const std::string& trace, Time at) {
     Request& request = requests_[trace];
     request.closed = true;
-    note(request, at, "connection closed with no answer");
+    record_event(request, at, "connection closed without a response");
 }
 
 void Oracle::response_received(const std::string& trace, unsigned status, const std::string& body, Time at) {
     Request& request = requests_[trace];
     request.answered = at;
-    note(request, at, concat("answered with ", status));
+    record_event(request, at, concat("answered with status ", status));
     if (at > request.deadline + lost_after + settings_.slack)
-        report(Invariant::request_answered, trace, "answered over half a second after its time", at);
+        report(Invariant::request_answered, trace, "answered more than half a second after its deadline", at);
     if (status == status_ok) {
         ++counts_.succeeded;
         check_response(trace, request, body, at);
@@ -168,35 +165,34 @@
 }
 void Oracle::check_response(const std::string& trace, const Request& request, const std::string& body,
                             Time at) {
-    const bool given_by_a_host =
+    const bool sent_by_a_host =
         std::any_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& attempt) {
             return attempt.outcome == HostOutcome::success && attempt.body == body;
         });
-    if (!given_by_a_host)
+    if (!sent_by_a_host)
         report(Invariant::genuine_response, trace,
-               concat("no host has answered with '", body.substr(0, quoted_body_bytes), "'"), at);
+               concat("no host sent the response body '", body.substr(0, quoted_body_bytes), "'"), at);
 }
 void Oracle::check_rejection(const std::string& trace, const Request& request, Time at) {
     if (request.idempotency == Idempotency::idempotent) return;
     const bool may_have_run =
         std::any_of(request.attempts.begin(), request.attempts.end(),
                     [](const Attempt& attempt) { return attempt.outcome != HostOutcome::not_executed; });
-    if (may_have_run) report(Invariant::safe_rejection, trace, "refused though it may have run", at);
+    if (may_have_run)
+        report(Invariant::safe_rejection, trace, "rejected although it may have been executed", at);
 }
 
-// ---- hosts ----
-
 std::size_t Oracle::attempt_received(const std::string& trace, int gateway, int host, const std::string& zone,
-                                     Time first_byte, Time at, std::int64_t forwarded_ms) {
+                                     Time first_byte_at, Time at, std::int64_t forwarded_ms) {
     ++counts_.attempts;
     const auto found = requests_.find(trace);
     if (found == requests_.end()) {
-        report(Invariant::no_duplicate, trace, "a request that no client sent", at);
+        report(Invariant::no_duplicate, trace, "a host received a request that no client sent", at);
         return 0;
     }
     Request& request = found->second;
-    const Attempt attempt{gateway, host, zone, {}, first_byte, at, HostOutcome::no_response};
-    note(request, first_byte, concat("attempt by gateway ", gateway, " at host ", host));
+    const Attempt attempt{gateway, host, zone, {}, first_byte_at, at, HostOutcome::no_response};
+    record_event(request, first_byte_at, concat("attempt by gateway ", gateway, " at host ", host));
     check_disconnect(trace, request, attempt);
     check_deadline(trace, request, attempt, forwarded_ms);
     check_duplicate(trace, request, attempt);
@@ -212,22 +208,25 @@
     Attempt& ended = found->second.attempts[attempt];
     ended.outcome = outcome;
     ended.body = body;
-    note(found->second, Clock::now(),
-         concat("host ", ended.host, " says ", outcome_names[static_cast<std::size_t>(outcome)]));
+    record_event(found->second, Clock::now(),
+                 concat("host ", ended.host,
+                        " reports the outcome: ", outcome_names[static_cast<std::size_t>(outcome)]));
 }
 
 void Oracle::check_disconnect(const std::string& trace, const Request& request, const Attempt& attempt) {
     if (!request.disconnected) return;
-    if (attempt.first_byte > *request.disconnected + disconnect_grace + settings_.slack)
-        report(Invariant::disconnect_honoured, trace, "an attempt after its client had left",
-               attempt.first_byte);
+    if (attempt.first_byte_at > *request.disconnected + disconnect_grace + settings_.slack)
+        report(Invariant::disconnect_honoured, trace, "attempt sent after its client had disconnected",
+               attempt.first_byte_at);
 }
 void Oracle::check_deadline(const std::string& trace, const Request& request, const Attempt& attempt,
                             std::int64_t forwarded_ms) {
-    const auto left = std::chrono::duration_cast<Duration>(request.deadline - attempt.first_byte);
-    if (forwarded_ms > (std::max(left, Duration(0)) + deadline_slack + settings_.slack).count())
+    const auto time_left = std::chrono::duration_cast<Duration>(request.deadline - attempt.first_byte_at);
+    if (forwarded_ms > (std::max(time_left, Duration(0)) + deadline_slack + settings_.slack).count())
         report(Invariant::deadline_forwarded, trace,
-               concat("told ", forwarded_ms, " ms of ", left.count(), " left"), attempt.first_byte);
+               concat("forwarded ", forwarded_ms, " ms to the host with ", time_left.count(),
+                      " ms left until the deadline"),
+               attempt.first_byte_at);
 }
 void Oracle::check_duplicate(const std::string& trace, const Request& request, const Attempt& attempt) {
     if (request.idempotency == Idempotency::idempotent) return;
@@ -235,24 +234,24 @@
         if (earlier.outcome == HostOutcome::not_executed) continue;
         const bool deduplicated =
             request.idempotency == Idempotency::with_key && earlier.zone == attempt.zone &&
-            attempt.first_byte - earlier.first_byte < settings_.deduplication_window + settings_.slack;
+            attempt.first_byte_at - earlier.first_byte_at < settings_.deduplication_window + settings_.slack;
         if (!deduplicated)
-            report(Invariant::no_duplicate, trace, "a further attempt though it may have run",
-                   attempt.received);
+            report(Invariant::no_duplicate, trace,
+                   "another attempt although an earlier one may have been executed", attempt.received);
     }
 }
 void Oracle::check_drain(const std::string& trace, const Attempt& attempt) {
     const HostHistory& host = host_history(attempt.host);
     const auto& banned = host.banned[static_cast<std::size_t>(attempt.gateway)];
-    const auto& listed = host.known[static_cast<std::size_t>(attempt.gateway)];
-    const auto& known = banned ? banned : listed;
-    if (!known || (!banned && !host.withdrawn)) return;
-    const auto late = std::chrono::duration_cast<Duration>(attempt.first_byte - *known);
+    const auto& withdrawal_known_since = host.known_since[static_cast<std::size_t>(attempt.gateway)];
+    const auto& known_since = banned ? banned : withdrawal_known_since;
+    if (!known_since || (!banned && !host.withdrawn)) return;
+    const auto late = std::chrono::duration_cast<Duration>(attempt.first_byte_at - *known_since);
     if (late > settings_.drain_grace + socket_slack + write_delay + settings_.slack)
         report(Invariant::drain_respected, trace,
                concat("sent to host ", attempt.host, " ", late.count(), " ms after gateway ", attempt.gateway,
-                      " was told that it leaves"),
-               attempt.first_byte);
+                      " learned that the host is draining, gone or banned"),
+               attempt.first_byte_at);
 }
 void Oracle::check_slow_start(const std::string& trace, HostHistory& host, Time at) {
     if (!host.slow_start || at - *host.slow_start > settings_.slow_start_time) return;
@@ -262,15 +261,15 @@
     const double capacity = settings_.slow_start_capacity + (1 - settings_.slow_start_capacity) * progress;
     const double budget = settings_.overload_multiple * capacity * settings_.full_requests_per_second *
                           seconds(settings_.overload_time);
-    if (static_cast<double>(host.recent_attempts.size()) > with_chance(budget))
+    if (static_cast<double>(host.recent_attempts.size()) > poisson_limit(budget))
         report(Invariant::slow_start_budget, trace,
-               concat(host.recent_attempts.size(), " requests within its budget's time"), at);
+               concat(host.recent_attempts.size(),
+                      " attempts within the overload time exceed the slow-start budget"),
+               at);
 }
 
-// ---- results ----
-
-// Its gateway was killed with the request in flight, or shut down when the request came too late to be owed a
-// response.
+// Returns true if the gateway was killed while the request was in flight, or if the request came too late
+// during a shutdown for a response to be required.
 bool Oracle::excused_by_gateway(const Request& request) const {
     const GatewayHistory& history = gateways_[static_cast<std::size_t>(request.gateway)];
     const Time lost_at = request.deadline + lost_after;
@@ -294,7 +293,7 @@
         }
         ++counts_.unanswered;
         report(Invariant::request_answered, trace,
-               request.closed ? "its connection was closed with no answer" : "never answered",
+               request.closed ? "its connection was closed without a response" : "no response was received",
                request.deadline);
     }
 }
@@ -303,7 +302,7 @@
     const auto found = requests_.find(trace);
     if (found == requests_.end()) return {};
     auto events = found->second.events;
-    events.emplace_back(found->second.deadline, "(its deadline)");
+    events.emplace_back(found->second.deadline, "(deadline of the client)");
     std::stable_sort(events.begin(), events.end(),
                      [](const auto& left, const auto& right) { return left.first < right.first; });
     std::string text;
--- a/tools/fault_soak/plan.cpp
+++ b/tools/fault_soak/plan.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr Duration first_fault_at = 1500ms;
-constexpr Duration calm_end = 5000ms;  // without new faults
+// No fault begins within this time before the end of the load.
+constexpr Duration final_interval_without_new_faults = 5000ms;
 constexpr Duration shortest_fault = 300ms;
 constexpr Duration longest_fault = 3000ms;
 constexpr Duration longest_pause_between = 900ms;
@@ -23,7 +24,7 @@
     return static_cast<int>(random() % static_cast<std::uint64_t>(count));
 }
 
-// The order of the draws is part of what a seed means.
+// A change of the order of the draws changes the plan of every seed.
 Fault draw_fault(Random& random, const PlanOptions& options, Duration at) {
     Fault fault;
     fault.kind = &fault_kinds()[random() % fault_kinds().size()];
@@ -40,13 +41,14 @@
 std::vector<Fault> draw_plan(const PlanOptions& options) {
     Random random(options.seed);
     std::vector<Fault> plan;
-    std::vector<Duration> ends;  // of the faults under way
-    for (Duration at = first_fault_at; at < options.length - calm_end;
+    // End times of the faults that are active at `at`.
+    std::vector<Duration> ends;
+    for (Duration at = first_fault_at; at < options.length - final_interval_without_new_faults;
          at += draw_duration(random, 0ms, longest_pause_between)) {
         std::erase_if(ends, [at](Duration end) { return end <= at; });
         if (static_cast<int>(ends.size()) >= options.max_concurrent) continue;
         Fault fault = draw_fault(random, options, at);
-        // Every second fault comes at the place of the one before it: such faults interact.
+        // About every second fault gets the gateway and host of the fault before it, so that faults interact.
         if (!plan.empty() && random() % 2 == 0) {
             fault.gateway = plan.back().gateway;
             fault.host = plan.back().host;
--- a/tools/fault_soak/plan.h
+++ b/tools/fault_soak/plan.h
@@ -1,4 +1,4 @@
-// Which faults a run injects, and when: drawn from a seed, so that a run can be repeated.
+// Plans which faults a run injects and when. Plans are drawn from a seed, so that a run can be repeated.
 #pragma once
 
 #include <cstdint>
@@ -10,18 +10,21 @@
 
 namespace fault_soak {
 
-// What a plan is drawn from. Equal options give the same plan.
+// The parameters of a plan. Equal options result in equal plans.
 struct PlanOptions {
     std::uint64_t seed = 1;
     int gateways = 12;
     int hosts = 10;
-    Duration length{20000};  // of the load
-    int max_concurrent = 3;  // faults at a time
+    // Length of the load.
+    Duration length{20000};
+    // Upper limit of the number of faults at the same time.
+    int max_concurrent = 3;
 };
 
-// In order of their begin. The last faults end some seconds before the run does.
+// Returns the faults of a run in the order of their start. The last faults end some seconds before the load
+// ends.
 [[nodiscard]] std::vector<Fault> draw_plan(const PlanOptions& options);
-// One line without its end: begin, kind, duration and place.
+// Returns one line without a line break: start, kind, duration, gateway and host of the fault.
 [[nodiscard]] std::string describe(const Fault& fault);
 
 }  // namespace fault_soak
--- a/tools/fault_soak/random.h
+++ b/tools/fault_soak/random.h
@@ -1,5 +1,5 @@
-// The soak's random numbers. Plans, clients and hosts draw theirs from generators of their own, each with a
-// fixed seed, so that a plan can be played again.
+// The random number generator of the soak. Plans, clients and hosts each have a generator of their own with a
+// fixed seed, so that a plan can be repeated.
 #pragma once
 
 #include <random>
--- a/tools/fault_soak/shim/fault_shim.cpp
+++ b/tools/fault_soak/shim/fault_shim.cpp
@@ -1,8 +1,8 @@
-// A library to be preloaded into a gateway. System calls fail, move fewer bytes or are interrupted in ways
-// that Linux documents, and the wall clock steps, at the rates of the control file (shim_control.h). Without
-// a control file nothing changes.
+// A library that is preloaded into a gateway. It makes system calls fail, transfer fewer bytes or be
+// interrupted in ways that Linux documents, and steps the wall clock. The control file (shim_control.h) sets
+// the rates of these faults. Without a control file the library changes nothing.
 //
-// Each function below replaces the C library's of the same name, and calls it.
+// Each function in the extern "C" block replaces the function of the same name in the C library and calls it.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <netinet/in.h>
@@ -30,13 +30,13 @@
 namespace {
 using fault_soak::ShimControl;
 
-// A short read or write moves one part in so many of the bytes asked for.
+// A short read or write transfers the requested number of bytes divided by this.
 constexpr std::size_t short_io_divisor = 3;
-// Further vectors of a message are left out of a short read or write.
+// A short read or write ignores the buffers of a message beyond this number.
 constexpr std::size_t max_vectors = 64;
 
-// Null where the environment names no control file or it cannot be mapped. Opens the file by a direct system
-// call, not through the C library.
+// Returns null if the environment names no control file or the file cannot be mapped. Opens the file by a
+// direct system call instead of a function of the C library.
 ShimControl* map_control_file() {
     const char* const path = std::getenv(fault_soak::shim_control_variable);
     if (path == nullptr) return nullptr;
@@ -61,13 +61,13 @@
     return source;
 }
 
-// Draws whether a call gets a fault that has this rate, in thousandths.
-bool draw(const std::atomic<std::uint32_t>& rate) {
+// Decides randomly whether a call gets a fault. `rate` is in thousandths.
+bool draw_fault(const std::atomic<std::uint32_t>& rate) {
     const std::uint32_t thousandths = rate.load(std::memory_order_relaxed);
     return thousandths > 0 && random_source()() % 1000 < thousandths;
 }
 
-// The result of a call that fails with this error.
+// Sets errno and returns the result of a failed call.
 int fail(int error) {
     errno = error;
     return -1;
@@ -81,13 +81,13 @@
     return nullptr;
 }
 
-// The C library's function of that name.
+// Returns the function of that name in the C library.
 template <class Function>
 Function* real_function(const char* name) {
     return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
-// Whether a socket is a TCP socket over IPv4.
+// Returns whether the descriptor is a TCP socket over IPv4.
 bool is_tcp(int socket) {
     int type = 0;
     socklen_t size = sizeof type;
@@ -105,17 +105,17 @@
     return true;
 }
 
-// A message over the same buffers, shortened to a part of their bytes.
+// A message header that covers only a part of the bytes in the buffers of another message.
 class ShortMessage {
   public:
     explicit ShortMessage(const msghdr& message) : header_(message) {
         const std::size_t count = std::min<std::size_t>(message.msg_iovlen, max_vectors);
         std::size_t total = 0;
         for (std::size_t i = 0; i < count; ++i) total += message.msg_iov[i].iov_len;
-        std::size_t left = shortened(total);
+        std::size_t bytes_left = shortened(total);
         for (std::size_t i = 0; i < count; ++i) {
-            vectors_[i] = {message.msg_iov[i].iov_base, std::min(message.msg_iov[i].iov_len, left)};
-            left -= vectors_[i].iov_len;
+            vectors_[i] = {message.msg_iov[i].iov_base, std::min(message.msg_iov[i].iov_len, bytes_left)};
+            bytes_left -= vectors_[i].iov_len;
         }
         header_.msg_iov = vectors_;
         header_.msg_iovlen = count;
@@ -130,14 +130,14 @@
     iovec vectors_[max_vectors];
 };
 
-// sendmsg() and recvmsg(), which differ in whether the message is const: recvmsg() sets its flags.
+// Implements sendmsg() and recvmsg(). The message is not const for recvmsg(), which sets its flags.
 template <class Message>
 ssize_t transfer(ssize_t (*real)(int, Message*, int), const std::atomic<std::uint32_t>& short_rate,
                  int socket, Message* message, int flags) {
-    if (is_empty(*message) || !draw(short_rate) || !is_tcp(socket)) return real(socket, message, flags);
-    ShortMessage part(*message);
-    const ssize_t size = real(socket, &part.header(), flags);
-    if constexpr (!std::is_const_v<Message>) message->msg_flags = part.header().msg_flags;
+    if (is_empty(*message) || !draw_fault(short_rate) || !is_tcp(socket)) return real(socket, message, flags);
+    ShortMessage short_message(*message);
+    const ssize_t size = real(socket, &short_message.header(), flags);
+    if constexpr (!std::is_const_v<Message>) message->msg_flags = short_message.header().msg_flags;
     return size;
 }
 
@@ -147,7 +147,7 @@
 
 ssize_t send(int socket, const void* bytes, size_t size, int flags) {
     static const auto real = real_function<ssize_t(int, const void*, size_t, int)>("send");
-    const bool is_short = size > 1 && draw(control().short_writes) && is_tcp(socket);
+    const bool is_short = size > 1 && draw_fault(control().short_writes) && is_tcp(socket);
     return real(socket, bytes, is_short ? shortened(size) : size, flags);
 }
 ssize_t sendmsg(int socket, const msghdr* message, int flags) {
@@ -156,7 +156,7 @@
 }
 ssize_t recv(int socket, void* bytes, size_t size, int flags) {
     static const auto real = real_function<ssize_t(int, void*, size_t, int)>("recv");
-    const bool is_short = size > 1 && draw(control().short_reads) && is_tcp(socket);
+    const bool is_short = size > 1 && draw_fault(control().short_reads) && is_tcp(socket);
     return real(socket, bytes, is_short ? shortened(size) : size, flags);
 }
 ssize_t recvmsg(int socket, msghdr* message, int flags) {
@@ -166,25 +166,25 @@
 ssize_t sendto(int socket, const void* bytes, size_t size, int flags, const sockaddr* to, socklen_t length) {
     static const auto real =
         real_function<ssize_t(int, const void*, size_t, int, const sockaddr*, socklen_t)>("sendto");
-    if (to != nullptr && draw(control().lost_datagrams)) return static_cast<ssize_t>(size);
+    if (to != nullptr && draw_fault(control().lost_datagrams)) return static_cast<ssize_t>(size);
     return real(socket, bytes, size, flags, to, length);
 }
 
 int accept(int socket, sockaddr* address, socklen_t* length) {
     static const auto real = real_function<int(int, sockaddr*, socklen_t*)>("accept");
-    if (draw(control().failing_accepts)) return fail_to_accept();
+    if (draw_fault(control().failing_accepts)) return fail_to_accept();
     return real(socket, address, length);
 }
 int accept4(int socket, sockaddr* address, socklen_t* length, int flags) {
     static const auto real = real_function<int(int, sockaddr*, socklen_t*, int)>("accept4");
-    if (draw(control().failing_accepts)) return fail_to_accept();
+    if (draw_fault(control().failing_accepts)) return fail_to_accept();
     return real(socket, address, length, flags);
 }
 int connect(int socket, const sockaddr* address, socklen_t length) {
     static const auto real = real_function<int(int, const sockaddr*, socklen_t)>("connect");
-    if (address->sa_family == AF_INET && draw(control().failing_connects))
+    if (address->sa_family == AF_INET && draw_fault(control().failing_connects))
         return fail_with_one_of({EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN});
-    if (address->sa_family != AF_INET || !draw(control().hanging_connects))
+    if (address->sa_family != AF_INET || !draw_fault(control().hanging_connects))
         return real(socket, address, length);
     sockaddr_in black_hole = *reinterpret_cast<const sockaddr_in*>(address);
     black_hole.sin_port = htons(static_cast<std::uint16_t>(control().black_hole_port));
@@ -192,32 +192,32 @@
 }
 int socket(int domain, int type, int protocol) {
     static const auto real = real_function<int(int, int, int)>("socket");
-    if (domain == AF_INET && draw(control().failing_connects))
+    if (domain == AF_INET && draw_fault(control().failing_connects))
         return fail_with_one_of({EMFILE, ENFILE, ENOBUFS, ENOMEM});
     return real(domain, type, protocol);
 }
 int bind(int socket, const sockaddr* address, socklen_t length) {
     static const auto real = real_function<int(int, const sockaddr*, socklen_t)>("bind");
-    if (address->sa_family == AF_UNIX && draw(control().failing_files))
+    if (address->sa_family == AF_UNIX && draw_fault(control().failing_files))
         return fail_with_one_of({ENOSPC, EIO});
     return real(socket, address, length);
 }
 
 int epoll_wait(int epoll, epoll_event* events, int max_events, int timeout) {
     static const auto real = real_function<int(int, epoll_event*, int, int)>("epoll_wait");
-    if (draw(control().interrupted_waits)) return fail(EINTR);
+    if (draw_fault(control().interrupted_waits)) return fail(EINTR);
     return real(epoll, events, max_events, timeout);
 }
 
-// The configuration is read through the C library's buffered files.
+// The gateway reads its configuration through the buffered files of the C library.
 FILE* fopen64(const char* path, const char* mode) {
     static const auto real = real_function<FILE*(const char*, const char*)>("fopen64");
-    if (draw(control().failing_files)) return fail_to_open();
+    if (draw_fault(control().failing_files)) return fail_to_open();
     return real(path, mode);
 }
 FILE* fopen(const char* path, const char* mode) {
     static const auto real = real_function<FILE*(const char*, const char*)>("fopen");
-    if (draw(control().failing_files)) return fail_to_open();
+    if (draw_fault(control().failing_files)) return fail_to_open();
     return real(path, mode);
 }
 
--- a/tools/fault_soak/soak.cpp
+++ b/tools/fault_soak/soak.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr Duration lateness_poll_interval = 20ms;
-// After the last request, until all responses are due.
+// Time after the end of the load within which all responses are due.
 constexpr Duration responses_due = 2500ms;
 
 std::vector<Fault> make_plan(const SoakOptions& options) {
     std::vector<Fault> plan = draw_plan(options.plan);
-    if (options.only == nullptr) return plan;
-    for (Fault& fault : plan) fault.kind = options.only;
+    if (options.only_kind == nullptr) return plan;
+    for (Fault& fault : plan) fault.kind = options.only_kind;
     return plan;
 }
 
@@ -30,16 +30,16 @@
         interrupted_ = true;
         testbed_.io.stop();
     });
-    asio::co_spawn(testbed_.io, play(), asio::detached);
+    asio::co_spawn(testbed_.io, run_plan(), asio::detached);
     testbed_.io.run();
     if (interrupted_) return;
     testbed_.oracle.finish();
     check_logs(testbed_);
 }
 
-Task Soak::play() {
+Task Soak::run_plan() {
     co_await start_gateways();
-    origin_ = Clock::now();
+    load_start_ = Clock::now();
     start_load();
     co_await sleep_for(testbed_.io, testbed_.options.plan.length);
     testbed_.client_behaviour.stopped = true;
@@ -60,7 +60,7 @@
     for (const auto& client : testbed_.clients) asio::co_spawn(testbed_.io, client->run(), asio::detached);
     asio::co_spawn(testbed_.io, watch_lateness(), asio::detached);
     asio::co_spawn(testbed_.io, watch_processes(), asio::detached);
-    for (const Fault& fault : plan_) asio::co_spawn(testbed_.io, injector_.play(fault), asio::detached);
+    for (const Fault& fault : plan_) asio::co_spawn(testbed_.io, injector_.run_fault(fault), asio::detached);
 }
 
 Task Soak::watch_lateness() {
@@ -77,7 +77,8 @@
         for (int number = 0; number < testbed_.options.plan.gateways; ++number) {
             GatewayUnderTest& gateway = testbed_.gateway(number);
             if (gateway.changing || !gateway.process->exited()) continue;
-            gateway.changing = true;  // for good: it is reported once
+            // The flag stays set, so that the exit is reported only once.
+            gateway.changing = true;
             testbed_.set_in_rotation(number, false);
             testbed_.oracle.gateway_exited(number, Clock::now(), false);
         }
@@ -92,7 +93,7 @@
 
 std::string Soak::trace_text(const Violation& violation) const {
     if (violation.trace.empty()) return {};
-    return testbed_.oracle.trace_text(violation.trace, origin_) + log_lines_of(testbed_, violation.trace);
+    return testbed_.oracle.trace_text(violation.trace, load_start_) + log_lines_of(testbed_, violation.trace);
 }
 
 }  // namespace fault_soak
--- a/tools/fault_soak/soak.h
+++ b/tools/fault_soak/soak.h
@@ -1,4 +1,4 @@
-// One run: a testbed under load, with the faults of a plan.
+// Runs a testbed under load and injects the faults of a plan.
 #pragma once
 
 #include <string>
@@ -12,38 +12,41 @@
 
 namespace fault_soak {
 
+// One run with one seed.
 class Soak {
   public:
     explicit Soak(const SoakOptions& options);
 
-    // Plays the plan to its end and checks what can be checked only then. Throws std::runtime_error where a
-    // gateway cannot be started.
+    // Runs the whole plan and then the final checks. Throws std::runtime_error if a gateway cannot be
+    // started.
     void run();
     [[nodiscard]] const Oracle& oracle() const noexcept { return testbed_.oracle; }
-    // A line for each fault.
+    // Returns the plan as text, one line per fault.
     [[nodiscard]] std::string plan_text() const;
-    // What happened to the request of a violation, and what gateways logged of it.
+    // Returns the events of the request of a violation and the log lines of the gateways about it. Empty if
+    // the violation concerns no single request.
     [[nodiscard]] std::string trace_text(const Violation& violation) const;
-    // The begin of the load.
-    [[nodiscard]] Time origin() const noexcept { return origin_; }
-    // Ended by a signal: nothing is proved. The gateways end with this object.
+    // Returns the time at which the load started.
+    [[nodiscard]] Time load_start() const noexcept { return load_start_; }
+    // Returns whether a signal ended the run, which makes its results invalid. The destructor kills the
+    // gateways.
     [[nodiscard]] bool interrupted() const noexcept { return interrupted_; }
-    // How late this program's own event loop has been at most. Limits of time prove nothing where this
-    // exceeds the slack.
+    // Returns the longest delay of a timer in the event loop of this program. If it exceeds the slack,
+    // violated time limits prove nothing.
     [[nodiscard]] Duration worst_lateness() const noexcept { return worst_lateness_; }
 
   private:
-    Task play();
+    Task run_plan();
     Task start_gateways();
     void start_load();
     Task watch_lateness();
-    // Reports processes that exit while no fault ends them.
+    // Reports processes that exit although no fault ends them.
     Task watch_processes();
 
     Testbed testbed_;
     FaultInjector injector_;
     std::vector<Fault> plan_;
-    Time origin_;
+    Time load_start_;
     Duration worst_lateness_{0};
     bool interrupted_ = false;
 };
--- a/tools/fault_soak/soak_options.h
+++ b/tools/fault_soak/soak_options.h
@@ -1,4 +1,4 @@
-// The options of a run, as the command line gives them.
+// The options of a run, which the command line sets.
 #pragma once
 
 #include <filesystem>
@@ -9,13 +9,19 @@
 
 struct SoakOptions {
     PlanOptions plan;
-    std::filesystem::path program;  // the gateway
-    std::filesystem::path shim;     // preloaded into gateways; empty: none
-    std::filesystem::path folder;   // for logs and configurations
-    Duration slack{100};            // for the machine's own lateness, on every limit of time
+    // The gateway program.
+    std::filesystem::path program;
+    // Shim library to preload into gateways. Empty for none.
+    std::filesystem::path shim;
+    // Folder for logs and configurations.
+    std::filesystem::path folder;
+    // Added to every time limit, because a busy machine can delay the soak itself.
+    Duration slack{100};
     int clients_per_gateway = 4;
-    const FaultKind* only = nullptr;  // every fault is of this kind; null: of any
-    bool verbose = false;             // prints each fault as it begins
+    // If not null, every fault of the plan gets this kind.
+    const FaultKind* only_kind = nullptr;
+    // Prints each fault when it begins.
+    bool verbose = false;
 };
 
 }  // namespace fault_soak
--- a/tools/fault_soak/testbed.cpp
+++ b/tools/fault_soak/testbed.cpp
@@ -14,7 +14,7 @@
 constexpr Duration polled_list_known_after = 6s;
 constexpr OracleSettings gateway_settings;
 constexpr const char* health_request = "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-// Factors that keep the seeds of the parts apart.
+// Factors that make the seeds of the parts differ.
 constexpr std::uint64_t host_seed_factor = 1000;
 constexpr std::uint64_t client_seed_factor = 7919;
 constexpr std::uint64_t gateway_seed_factor = 131;
@@ -67,20 +67,20 @@
     LoopbackPorts ports;
     gateways.resize(static_cast<std::size_t>(options.plan.gateways));
     for (int number = 0; number < options.plan.gateways; ++number) {
-        GatewayUnderTest& made = gateway(number);
-        made.listen = loopback(ports.take());
-        made.admin = loopback(ports.take());
-        made.next_admin = loopback(ports.take());
-        made.peers = loopback(ports.take());
-        made.folder = options.folder / concat("gateway-", number);
-        made.config = made.folder / "config.json";
-        std::filesystem::create_directories(made.folder);
-        made.control = std::make_unique<MappedControl>(made.folder / "control");
-        (*made.control)->black_hole_port = black_hole.port();
-        made.agent = std::make_unique<DiscoveryAgent>(
+        GatewayUnderTest& created = gateway(number);
+        created.listen = loopback(ports.allocate());
+        created.admin = loopback(ports.allocate());
+        created.next_admin = loopback(ports.allocate());
+        created.peer_listen = loopback(ports.allocate());
+        created.folder = options.folder / concat("gateway-", number);
+        created.config = created.folder / "config.json";
+        std::filesystem::create_directories(created.folder);
+        created.control = std::make_unique<MappedControl>(created.folder / "control");
+        (*created.control)->black_hole_port = black_hole.port();
+        created.agent = std::make_unique<DiscoveryAgent>(
             io, host_list, proxy->addresses_for(number),
             [this, number](Time list_time) { oracle.list_delivered(number, list_time, Clock::now()); });
-        load_balancer.gateways.push_back(endpoint_of(made.listen));
+        load_balancer.gateways.push_back(endpoint_of(created.listen));
         load_balancer.in_rotation.push_back(false);
     }
 }
@@ -96,8 +96,6 @@
 GatewayUnderTest& Testbed::gateway(int number) { return gateways[static_cast<std::size_t>(number)]; }
 HostStub& Testbed::host_stub(int number) { return *host_stubs[static_cast<std::size_t>(number)]; }
 
-// ---- gateways ----
-
 std::string Testbed::config_json(int gateway_number, const std::string& admin) const {
     const GatewayUnderTest& described = gateways[static_cast<std::size_t>(gateway_number)];
     GatewayConfig config;
@@ -107,8 +105,8 @@
     config.listen = described.listen;
     config.admin = admin;
     config.discovery = described.agent->address(described.agent_address);
-    config.peer_listen = described.peers;
-    for (const GatewayUnderTest& peer : gateways) config.peers.push_back(peer.peers);
+    config.peer_listen = described.peer_listen;
+    for (const GatewayUnderTest& peer : gateways) config.peers.push_back(peer.peer_listen);
     config.known_list = described.agent->known_list();
     config.lists_pushed = lists_pushed;
     config.may_hedge = options.plan.seed % 2 == 0;
@@ -137,8 +135,8 @@
     started.logs.push_back(started.process->log());
     const Time now = Clock::now();
     oracle.gateway_started(gateway_number, now);
-    // A new process counts as knowing what its agent has from the first moment on.
-    note_list(gateway_number, now);
+    // A new process is assumed to know the current list of its agent from the start.
+    record_list(gateway_number, now);
 }
 
 asio::awaitable<HttpResult> Testbed::send_request(const std::string& address, std::string request) {
@@ -147,9 +145,9 @@
 
 Task Testbed::await_health(int gateway_number) {
     const std::string listen = gateway(gateway_number).listen;
-    const Time give_up = Clock::now() + ready_within + options.slack;
+    const Time health_deadline = Clock::now() + ready_within + options.slack;
     HttpResult health;
-    while (health.code != 200 && Clock::now() < give_up && !stopping) {
+    while (health.code != 200 && Clock::now() < health_deadline && !stopping) {
         co_await sleep_for(io, health_poll_interval);
         health = co_await send_request(listen, health_request);
     }
@@ -165,33 +163,32 @@
     load_balancer.in_rotation[static_cast<std::size_t>(gateway_number)] = in_rotation;
 }
 
-// ---- discovery ----
-
 void Testbed::change_host(int host, HostState state, std::int64_t boot_ms) {
     const bool was_ready = host_list.hosts()[static_cast<std::size_t>(host)].state == HostState::ready;
     host_list.change(host, state, boot_ms);
     const Time now = Clock::now();
     if (state != HostState::ready) oracle.host_withdrawn(host, now);
     else if (!was_ready) oracle.host_returned(host, now, boot_ms != 0);
-    for (int number = 0; number < options.plan.gateways; ++number) note_list(number, now);
+    for (int number = 0; number < options.plan.gateways; ++number) record_list(number, now);
 }
 
-void Testbed::note_list(int gateway_number, Time list_time) {
-    note_pushed_list(gateway_number, list_time);
-    if (!lists_pushed) asio::co_spawn(io, note_polled_list(gateway_number, list_time), asio::detached);
+void Testbed::record_list(int gateway_number, Time list_time) {
+    record_pushed_list(gateway_number, list_time);
+    if (!lists_pushed) asio::co_spawn(io, record_polled_list(gateway_number, list_time), asio::detached);
 }
 
-void Testbed::note_pushed_list(int gateway_number, Time at) {
+void Testbed::record_pushed_list(int gateway_number, Time at) {
     if (lists_pushed && !gateway(gateway_number).agent->faults.silent)
         oracle.list_delivered(gateway_number, at, at);
 }
 
-Task Testbed::note_polled_list(int gateway_number, Time list_time) {
+Task Testbed::record_polled_list(int gateway_number, Time list_time) {
     const DiscoveryAgent& agent = *gateway(gateway_number).agent;
-    const std::size_t silences = agent.faults.silences;
+    const std::size_t silence_count = agent.faults.silence_count;
     if (agent.faults.silent) co_return;
     co_await sleep_for(io, polled_list_known_after);
-    if (silences == agent.faults.silences) oracle.list_delivered(gateway_number, list_time, Clock::now());
+    if (silence_count == agent.faults.silence_count)
+        oracle.list_delivered(gateway_number, list_time, Clock::now());
 }
 
 }  // namespace fault_soak
--- a/tools/fault_soak/testbed.h
+++ b/tools/fault_soak/testbed.h
@@ -1,5 +1,5 @@
-// Everything that a run consists of apart from its faults: gateways as processes, and hosts, discovery,
-// clients and the network between them in this one.
+// The parts of a run apart from its faults: gateways, which run as processes of their own, and stubs of
+// hosts, discovery, clients and the network between them, which run in this process.
 #pragma once
 
 #include <cstdint>
@@ -22,17 +22,17 @@
 
 namespace fault_soak {
 
-// Between two looks at whether a process has exited.
+// Interval between two checks whether a process has exited.
 constexpr Duration process_poll_interval = 20ms;
-// Between two health checks of a gateway that starts.
+// Interval between two health checks of a starting gateway.
 constexpr Duration health_poll_interval = 50ms;
-// From SIGTERM or standby until the load balancer takes a gateway out of rotation.
+// Time from SIGTERM or standby until the load balancer takes a gateway out of rotation.
 constexpr Duration load_balancer_delay = 300ms;
-// As at a planned restart of the platform: SIGKILL comes so long after the longest deadline has passed since
-// SIGTERM, and the soak waits for a margin beyond that.
+// As in a planned restart on the platform, SIGKILL follows SIGTERM after the longest deadline plus this time.
+// The soak waits for a margin beyond that.
 constexpr Duration kill_after_longest_deadline = 700ms;
 constexpr Duration kill_margin = 100ms;
-// From SIGTERM to SIGKILL.
+// Time from SIGTERM to SIGKILL.
 constexpr Duration shutdown_time =
     OracleSettings{}.longest_deadline + kill_after_longest_deadline + kill_margin;
 
@@ -40,21 +40,28 @@
 struct GatewayUnderTest {
     std::string listen;
     std::string admin;
-    std::string next_admin;  // of the next process of an upgrade
-    std::string peers;       // where it takes messages from other gateways
+    // Admin address of the next process of an upgrade.
+    std::string next_admin;
+    // Address at which the gateway receives peer messages.
+    std::string peer_listen;
     std::filesystem::path folder;
     std::filesystem::path config;
     std::unique_ptr<MappedControl> control;
     std::unique_ptr<DiscoveryAgent> agent;
-    int agent_address = 0;  // index of the agent's address that the configuration names
+    // Index of the agent address that the configuration contains.
+    int agent_address = 0;
     std::unique_ptr<GatewayProcess> process;
-    std::unique_ptr<GatewayProcess> former_process;  // during an upgrade
-    int process_count = 0;                           // started so far
-    bool changing = false;                           // a fault ends, starts or replaces it now
-    std::vector<std::filesystem::path> logs;         // of all its processes
+    // The predecessor during an upgrade, otherwise null.
+    std::unique_ptr<GatewayProcess> former_process;
+    // Number of processes started so far.
+    int process_count = 0;
+    // Whether a fault is ending, starting, replacing or reconfiguring the process now.
+    bool changing = false;
+    // Log files of all processes of this gateway.
+    std::vector<std::filesystem::path> logs;
 };
 
-// The parts are public, as faults act on them directly.
+// The parts are public because faults act on them directly.
 class Testbed {
   public:
     explicit Testbed(const SoakOptions& soak_options);
@@ -64,32 +71,31 @@
     [[nodiscard]] GatewayUnderTest& gateway(int number);
     [[nodiscard]] HostStub& host_stub(int number);
 
-    // ---- gateways ----
-
-    // Writes the configuration and starts a new process with that address of the admin server.
+    // Writes the configuration and starts a new process whose admin server listens on `admin`.
     void start_process(int gateway_number, const std::string& admin);
-    // Replaces the configuration file in one step: a reader finds the old one or the new one.
+    // Replaces the configuration file atomically, so that a reader finds either the old or the new file.
     void write_config(int gateway_number, const std::string& admin) const;
     [[nodiscard]] std::string config_json(int gateway_number, const std::string& admin) const;
-    // Puts a gateway into rotation as soon as it is healthy; gives up after a while.
+    // Waits until the gateway is healthy and puts it into rotation. Takes it out of rotation after a timeout.
     Task await_health(int gateway_number);
-    // The same after a start, which the oracle holds to its limit of time.
+    // Does the same after a start, and reports the time to the oracle, which checks its limit.
     Task await_ready(int gateway_number);
     void set_in_rotation(int gateway_number, bool in_rotation);
     [[nodiscard]] asio::awaitable<HttpResult> send_request(const std::string& address, std::string request);
 
-    // ---- discovery ----
-
-    // `boot_ms`: Unix time of the host's restart in milliseconds; 0: it has not restarted.
+    // Changes the state of a host in the endpoint list. `boot_ms` is the Unix time of the restart of the host
+    // in milliseconds, or 0 if it has not restarted.
     void change_host(int host, HostState state, std::int64_t boot_ms);
-    // Where lists are pushed, a gateway counts as knowing what its agent has, unless the agent is silent.
-    void note_pushed_list(int gateway_number, Time at);
-    // Where lists are polled, a gateway counts as knowing a list some seconds after its agent had it and
-    // could be reached.
-    Task note_polled_list(int gateway_number, Time list_time);
+    // Reports to the oracle that the gateway knows the current list. When lists are pushed, a gateway is
+    // assumed to know the list of its agent at once, unless the agent is silent. Has no effect when lists are
+    // polled.
+    void record_pushed_list(int gateway_number, Time at);
+    // Reports to the oracle, after some seconds, that the gateway knows the list. When lists are polled, a
+    // gateway is assumed to know a list some seconds after its agent had the list and could be reached.
+    Task record_polled_list(int gateway_number, Time list_time);
 
-    // `io` outlives the other parts, whose coroutines it holds.
     const SoakOptions options;
+    // Holds the coroutines of the other parts. Declared before them, so that it outlives them.
     asio::io_context io;
     Oracle oracle;
     HostList host_list;
@@ -100,14 +106,16 @@
     LoadBalancer load_balancer;
     ClientBehaviour client_behaviour;
     std::vector<std::unique_ptr<Client>> clients;
-    const bool lists_pushed;  // by discovery; otherwise gateways poll them
-    bool stopping = false;    // the run is over: nothing waits for a gateway any more
+    // Whether discovery pushes endpoint lists to the gateways. Otherwise gateways poll them.
+    const bool lists_pushed;
+    // Set when the load is over, so that no coroutine waits for a gateway any more.
+    bool stopping = false;
 
   private:
     void make_hosts();
     void make_gateways();
     void make_clients();
-    void note_list(int gateway_number, Time list_time);
+    void record_list(int gateway_number, Time list_time);
 };
 
 }  // namespace fault_soak
--- a/tools/fault_soak/text.h
+++ b/tools/fault_soak/text.h
@@ -1,4 +1,4 @@
-// Joins words and numbers to one text.
+// Concatenates texts and numbers.
 #pragma once
 
 #include <string>
@@ -13,7 +13,7 @@
     text.append(std::to_string(number));
 }
 
-// Numbers are written as std::to_string() writes them.
+// Returns the concatenation of all parts. Numbers are converted by std::to_string().
 template <class... Parts>
 [[nodiscard]] std::string concat(const Parts&... parts) {
     std::string text;
--- a/tools/fault_soak/watchdog.h
+++ b/tools/fault_soak/watchdog.h
@@ -1,4 +1,4 @@
-// A limit of time on what is done with a socket.
+// A timeout for the operations on a socket.
 #pragma once
 
 #include <memory>
@@ -7,8 +7,8 @@
 
 namespace fault_soak {
 
-// Closes a socket at a given time, unless it is destroyed before. The socket must outlive the io_context's
-// next turn after that.
+// Closes a socket at a given time unless the watchdog is destroyed first. The socket must outlive the next
+// turn of the io_context after that destruction, because a queued handler may still access the socket.
 class Watchdog {
   public:
     Watchdog(asio::io_context& io, tcp::socket& socket, Time at)
@@ -24,7 +24,7 @@
     Watchdog(const Watchdog&) = delete;
     Watchdog& operator=(const Watchdog&) = delete;
 
-    // Whether it has closed the socket.
+    // Returns whether the watchdog has closed the socket.
     [[nodiscard]] bool fired() const noexcept { return *fired_; }
 
   private:
