--- a/tools/fault_soak/client.h
+++ b/tools/fault_soak/client.h
@@ -46,7 +46,7 @@
     };
     struct RequestClass;
 
-    // Returns the index of a gateway in rotation, or -1 if there is none.
+    // Returns the index of a gateway in rotation, or a number below 0 if there is none.
     int choose_gateway();
     Task connect(int gateway);
     Request draw_request();
--- a/tools/fault_soak/gateway_faults.cpp
+++ b/tools/fault_soak/gateway_faults.cpp
@@ -12,6 +12,7 @@
 // Within this time after SIGHUP, the gateway has switched to the new discovery address, so that the old one
 // is no longer needed.
 constexpr Duration reload_time = 1500ms;
+// How long the truncated configuration file stays in place.
 constexpr Duration truncated_file_time = 100ms;
 constexpr std::uint64_t shortest_pause_ms = 50;
 constexpr std::uint64_t pause_spread_ms = 100;
--- a/tools/fault_soak/machine_faults.cpp
+++ b/tools/fault_soak/machine_faults.cpp
@@ -7,6 +7,7 @@
 
 constexpr std::int64_t clock_step_s = 3600;
 constexpr std::uint64_t bad_clients_per_fault = 6;
+// Length of the fault, in place of the planned length.
 constexpr Duration bad_clients_time = 4s;
 
 }  // namespace
--- a/tools/fault_soak/testbed.cpp
+++ b/tools/fault_soak/testbed.cpp
@@ -11,6 +11,7 @@
 
 constexpr Duration ready_within = 15s;
 constexpr Duration request_timeout = 1s;
+// Time after which a gateway is assumed to know a list that it polls.
 constexpr Duration polled_list_known_after = 6s;
 constexpr OracleSettings gateway_settings;
 constexpr const char* health_request = "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
