--- a/src/decision/health_checker.cpp
+++ b/src/decision/health_checker.cpp
@@ -5,11 +5,12 @@
 
 namespace gateway::decision {
 namespace {
-constexpr double checks_per_request = 12;  // by all gateways together
-}
+// Health checks that all gateways together earn when each of them receives one request.
+constexpr double fleet_checks_per_request = 12;
+}  // namespace
 
 void HealthChecker::earn() {
-    budget_ = std::min(max_saved, budget_ + checks_per_request / context_.settings().instances);
+    budget_ = std::min(max_saved_checks, budget_ + fleet_checks_per_request / context_.settings().instances);
 }
 
 bool HealthChecker::take(std::size_t checks) {
--- a/src/decision/health_checker.h
+++ b/src/decision/health_checker.h
@@ -1,4 +1,4 @@
-// Health checks of hosts on behalf of waiting requests, and the budget for them.
+// Sends health checks to hosts on behalf of waiting requests, within a budget.
 #pragma once
 
 #include <vector>
@@ -8,26 +8,29 @@
 
 namespace gateway::decision {
 
-// Health checks stand in for answers where this gateway sees few of a host's. Hosts bear the checks of all
-// gateways, so a budget guards against many gateways that see little each and check for every request.
+// A health check replaces the responses from which a gateway learns about a host, where it sees few of them.
+// Hosts carry the health checks of all gateways, so a budget limits them. It guards against many gateways
+// that each see few responses and send health checks for every request.
 class HealthChecker {
   public:
     explicit HealthChecker(Context& context) : context_(context) {}
 
-    // A request has arrived: it earns this gateway's part of some checks.
+    // Credits the budget for one arrived request with this gateway's part of the fleet's health checks.
     void earn();
-    // Takes so many checks from the budget; false, and nothing taken, where it has fewer.
+    // Takes `checks` health checks from the budget. Returns false and takes nothing if the budget holds
+    // fewer.
     [[nodiscard]] bool take(std::size_t checks);
-    // Has the request wait for the host's health check, which is sent unless one is in flight.
+    // Registers the request as waiting for the host's health check. Sends the check unless one is in flight.
     void request(Host& host, RequestId id);
-    // The host's check has ended: the requests that waited for it.
+    // Ends the host's health check. Returns the requests that waited for it.
     [[nodiscard]] static std::vector<RequestId> finish(Host& host);
 
   private:
-    static constexpr double max_saved = 4;
+    // Limit on the budget, which is full at the start.
+    static constexpr double max_saved_checks = 4;
 
     Context& context_;
-    double budget_ = max_saved;
+    double budget_ = max_saved_checks;
 };
 
 }  // namespace gateway::decision
--- a/src/decision/host.h
+++ b/src/decision/host.h
@@ -1,4 +1,4 @@
-// One host, with the parts that OutlierDetector, LoadEstimator, SlowStart and HealthChecker keep.
+// One host, with the state that OutlierDetector, LoadEstimator, SlowStart and HealthChecker keep for it.
 #pragma once
 
 #include <cstdint>
@@ -10,56 +10,62 @@
 
 namespace gateway::decision {
 
-// A host's failures. Written by OutlierDetector.
+// Failures and ejections of a host. Written by OutlierDetector.
 struct OutlierState {
-    int failures = 0;         // in a row
-    int ejections = 0;        // since the last success
-    Micros ejected_until{0};  // gets no requests before
+    int failures = 0;         // consecutive failures
+    int ejections = 0;        // ejections since the last success
+    Micros ejected_until{0};  // the host gets no requests before this time
     Micros last_response_at{0};
-    std::map<int, Micros> penalties;  // by traffic class, until when; see OutlierDetector::penalize
+    // The time at which each penalty ends, by traffic class; see OutlierDetector::penalize.
+    std::map<int, Micros> penalties;
 };
 
-// A host's load as seen here. Written by LoadEstimator.
+// The load of a host as this gateway knows it. Written by LoadEstimator.
 struct LoadState {
     static constexpr double initial_limit = 6;
 
-    int in_flight = 0;             // own attempts
-    double limit = initial_limit;  // adaptive concurrency limit: attempts by all gateways
-    DecayingCounter answers;       // seen here lately
-    double response_s = 0;         // mean response time; 0: none seen
-    Micros reported_at{0};         // when it reported its load; 0: never
-    double reported = -1;          // requests that it has by its own report; below 0: not reported
-    bool idle = false;             // by its own report: nothing queues there
-    bool reports_outstanding = false;
+    int in_flight = 0;  // this gateway's attempts
+    // Adaptive concurrency limit: the most attempts of all gateways together.
+    double limit = initial_limit;
+    DecayingCounter recent_outcomes;  // outcomes of this gateway's attempts, see `response_memory_s`
+    double response_s = 0;            // mean response time in seconds; 0: no response seen
+    Micros reported_at{0};            // time of the latest load report; 0: none
+    // Requests at the host by its load report, with those sent there since; below 0: not reported.
+    double reported_outstanding = -1;
+    bool idle = false;                 // the latest load report shows no queue, or no queue length
+    bool reports_outstanding = false;  // the latest load report has the number of outstanding requests
 };
 
-// A host's warming up. Written by SlowStart.
+// The slow start of a host. Written by SlowStart.
 struct SlowStartState {
-    Micros considered_at{0};  // when last considered for a request while warming up
-    DecayingCounter sent;     // units sent there
-    Micros warm_at{0};        // when it has its full capacity
-    bool counted = false;     // among the warm hosts
-    bool awaited = false;     // among those that are warming up
+    Micros considered_at{0};       // when the host was last considered for a request while warming up
+    DecayingCounter units_sent;    // units sent to the host, see `sent_memory_s`
+    Micros warm_at{0};             // when the host reaches its full capacity
+    bool counted_as_warm = false;  // SlowStart counts it among the warm hosts
+    bool in_warming_set = false;   // SlowStart holds it in its set of warming hosts
 };
 
 struct Host {
-    HostEntry entry;           // as listed; `started` may be later than listed, for a host that was put back
-    bool banned = false;       // by operators, whatever the list says
-    std::uint32_t place = 0;   // in this gateway's order of hosts
-    Micros reported_start{0};  // as the list reports it
+    // The entry of the endpoint list. `started` is the start that counts here, which may differ from the
+    // reported one, for example after an unban; see HostRegistry.
+    HostEntry entry;
+    bool banned = false;          // banned by operators; the endpoint list has no effect on it
+    std::uint32_t order_key = 0;  // sort key in this gateway's order of hosts
+    Micros reported_start{0};     // the start that the endpoint list reports
     OutlierState outlier;
     LoadState load;
     SlowStartState slow_start;
-    std::vector<RequestId> awaiting_health_check;  // requests that wait for the check in flight
+    std::vector<RequestId> awaiting_health_check;  // requests that wait for the health check in flight
 
     [[nodiscard]] bool usable() const { return entry.state == HostState::up && !banned; }
 
-    // The start times are not of this process's clock.
+    // The start times come from the endpoint list, not from this process's clock, so the reader must not
+    // shift them.
     void serialize(auto& codec) {
-        codec.stamp(reported_start);
-        codec.stamp(entry.started);
+        codec.unshifted_time(reported_start);
+        codec.unshifted_time(entry.started);
         codec(load.limit, load.response_s, outlier.failures, outlier.ejections, slow_start.considered_at,
-              outlier.last_response_at, outlier.ejected_until, load.answers, slow_start.sent);
+              outlier.last_response_at, outlier.ejected_until, load.recent_outcomes, slow_start.units_sent);
     }
 };
 
--- a/src/decision/host_registry.cpp
+++ b/src/decision/host_registry.cpp
@@ -9,8 +9,10 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr Micros max_start_report_delay = 30s;  // a host's start is reported no later than this
-constexpr Micros departed_lifetime = 10min;     // the start of a host that has left is remembered so long
+// The endpoint list reports a host's start at most this long after it.
+constexpr Micros max_start_report_delay = 30s;
+// The start of a host that has left the endpoint list is kept for this time.
+constexpr Micros departed_lifetime = 10min;
 }  // namespace
 
 void HostRegistry::update(const HostsChanged& change) {
@@ -20,50 +22,53 @@
             gone_.insert(name);
         }
     }
-    for (const HostEntry& entry : change.entries) list(entry);
+    for (const HostEntry& entry : change.entries) apply_entry(entry);
     if (change.complete_list)
         for (const std::string& name : gone_) slow_start_.update(hosts_.at(name));
-    // The first list is the one cached at the start, of any age.
+    // The first list is the one that was cached when this process started. It may be of any age, so its
+    // arrival does not count as the time of a list.
     if (std::exchange(has_list_, true)) last_list_at_ = context_.now();
 }
 
-void HostRegistry::list(const HostEntry& entry) {
+void HostRegistry::apply_entry(const HostEntry& entry) {
     auto [position, created] = hosts_.try_emplace(entry.host);
     Host& host = position->second;
-    const Micros started = believable_start(host, entry, created);
+    const Micros started = effective_start(host, entry, created);
     if (created || entry.started != host.reported_start) reset(host, entry.host);
-    // A host that was put back may have been restarted unnoticed: until the list reports a later start, the
-    // time of that counts.
-    const auto put_back = put_back_.find(entry.host);
+    // A host may have been restarted while it was banned, without a report. Until the list reports a later
+    // start, the time of its unban counts as its start.
+    const auto unbanned = unbanned_at_.find(entry.host);
     host.entry = entry;
     host.reported_start = entry.started;
-    host.entry.started = put_back == put_back_.end() ? started : std::max(started, put_back->second);
+    host.entry.started = unbanned == unbanned_at_.end() ? started : std::max(started, unbanned->second);
     if (created) order_.insert(host);
     if (host.entry.state == HostState::gone) gone_.insert(entry.host);
     else gone_.erase(entry.host);
     slow_start_.update(host);
 }
 
-// A start is reported by a wall clock, which may be stepped. Guards against a host that was seen to restart
-// and passes for warm, and one that seems to start in the future; costs a slow start for a start reported
-// very late.
-Micros HostRegistry::believable_start(const Host& host, const HostEntry& entry, bool created) const {
+// Returns the start time that counts for the host's slow start. Starts are reported by a wall clock, which
+// may be stepped. A start in the future counts as now. A changed start that is implausibly old, by more than
+// the longest report delay before the previous list, also counts as now. This guards against a restarted host
+// that passes for warm, and against one that seems to start in the future. The cost is a slow start from now
+// on for a host whose restart is reported very late.
+Micros HostRegistry::effective_start(const Host& host, const HostEntry& entry, bool created) const {
     const auto departed = departed_.find(entry.host);
     const bool known = !created || departed != departed_.end();
-    const Micros former = created && known ? departed->second.reported_start : host.reported_start;
-    if (!created && entry.started == former) return host.entry.started;
+    const Micros previous_report = created && known ? departed->second.reported_start : host.reported_start;
+    if (!created && entry.started == previous_report) return host.entry.started;
     const Micros reported = std::min(entry.started, context_.now());
-    const bool restarted = known && entry.started > 0us && entry.started != former;
+    const bool restarted = known && entry.started > 0us && entry.started != previous_report;
     return restarted && reported < last_list_at_ - max_start_report_delay ? context_.now() : reported;
 }
 
-// Forgets all but the attempts in flight.
+// Resets the host's state except its number of attempts in flight.
 void HostRegistry::reset(Host& host, const std::string& name) {
     slow_start_.remove(host);
     host.load.in_flight = std::exchange(host, Host{}).load.in_flight;
     host.slow_start.considered_at = context_.now();
     host.outlier.last_response_at = context_.now();
-    host.place = name_hash(name + ' ' + std::to_string(context_.settings().rank));
+    host.order_key = name_hash(name + ' ' + std::to_string(context_.settings().rank));
     host.banned = banned_.contains(name);
 }
 
@@ -71,8 +76,8 @@
     const bool changes = banned ? banned_.insert(name).second : banned_.erase(name) > 0;
     if (!changes) return false;
     const Micros slow_start_time = context_.settings().slow_start_time;
-    if (!banned && slow_start_time > 0us) put_back_[name] = context_.now();
-    std::erase_if(put_back_,
+    if (!banned && slow_start_time > 0us) unbanned_at_[name] = context_.now();
+    std::erase_if(unbanned_at_,
                   [&](const auto& entry) { return context_.since(entry.second) > slow_start_time; });
     Host* const host = find(name);
     if (host == nullptr) return true;
@@ -115,7 +120,7 @@
 }
 
 void HostRegistry::refresh_order() {
-    order_.restart();
+    order_.rebuild_front();
     slow_start_.refresh();
 }
 
@@ -124,19 +129,20 @@
     return position == hosts_.end() ? nullptr : &position->second;
 }
 
-void HostRegistry::restore(std::map<std::string, Host>&& former) {
-    for (auto& [name, seen] : former) {
+void HostRegistry::restore(std::map<std::string, Host>&& saved_hosts) {
+    for (auto& [name, saved] : saved_hosts) {
         Host* const host = find(name);
         if (host == nullptr) continue;
-        seen.entry.started = std::max(seen.entry.started, host->entry.started);
-        host->entry.started = seen.entry.started;
-        // A host that the list here reports to have restarted since is another one.
-        if (host->reported_start > seen.reported_start) continue;
-        seen.entry = host->entry;
-        seen.place = host->place;
-        seen.load.in_flight = host->load.in_flight;
+        saved.entry.started = std::max(saved.entry.started, host->entry.started);
+        host->entry.started = saved.entry.started;
+        // The list reports a start later than the saved one: the host has restarted, and its saved state no
+        // longer applies.
+        if (host->reported_start > saved.reported_start) continue;
+        saved.entry = host->entry;
+        saved.order_key = host->order_key;
+        saved.load.in_flight = host->load.in_flight;
         slow_start_.remove(*host);
-        *host = std::move(seen);
+        *host = std::move(saved);
         slow_start_.update(*host);
     }
 }
--- a/src/decision/host_selector.cpp
+++ b/src/decision/host_selector.cpp
@@ -5,11 +5,15 @@
 
 namespace gateway::decision {
 namespace {
-constexpr std::size_t hosts_considered = 12;  // for one request
-constexpr double cost_noise_least = 0.95;     // random factor on costs, which breaks ties
+// Available hosts that are compared for one request, at most.
+constexpr std::size_t max_considered_hosts = 12;
+// Each cost is multiplied by a random factor in a range from this value, which breaks ties.
+constexpr double min_cost_noise = 0.95;
 constexpr double cost_noise_range = 0.1;
-constexpr double cross_zone_factor = 5;  // on the settings' price of another zone
-constexpr double same_host_factor = 4;   // on the host of the last attempt
+// Multiplies the settings' cost of another zone.
+constexpr double cross_zone_factor = 5;
+// Multiplies the cost of the host that got the request's last attempt.
+constexpr double same_host_factor = 4;
 constexpr double min_weight = 1e-3;
 }  // namespace
 
@@ -39,11 +43,11 @@
 }
 
 double HostSelector::cost(const Host& host, const Request& request) {
-    double total = cost(host) * (cost_noise_least + cost_noise_range * context_.uniform());
+    double request_cost = cost(host) * (min_cost_noise + cost_noise_range * context_.uniform());
     if (host.entry.zone != context_.settings().zone)
-        total *= 1 + cross_zone_factor * context_.settings().cross_zone_cost;
-    if (host.entry.host == request.last_host) total *= same_host_factor;
-    return total * outliers_.cost_factor(host, request.traffic_class);
+        request_cost *= 1 + cross_zone_factor * context_.settings().cross_zone_cost;
+    if (host.entry.host == request.last_host) request_cost *= same_host_factor;
+    return request_cost * outliers_.cost_factor(host, request.traffic_class);
 }
 
 std::vector<Host*> HostSelector::select(const Request& request) {
@@ -52,7 +56,7 @@
     std::size_t considered = 0;
     HostOrder<Host>& order = hosts_.order();
     auto behind_front = order.behind_front();
-    for (std::size_t i = 0; i < order.size() && considered < hosts_considered; ++i) {
+    for (std::size_t i = 0; i < order.size() && considered < max_considered_hosts; ++i) {
         const bool in_front = i < order.front_size();
         if (in_front) order.swap_in_front(i, i + context_.random_bits() % (order.front_size() - i));
         Host& host = in_front ? order.front(i) : **behind_front++;
@@ -62,12 +66,12 @@
             if (slow_start_.admits(host, request.arrival.units)) return {&host};
             continue;
         }
-        const double total = cost(host, request);
-        if (!best.second || total < best.first) {
+        const double request_cost = cost(host, request);
+        if (!best.second || request_cost < best.first) {
             second = best;
-            best = {total, &host};
-        } else if (!second.second || total < second.first) {
-            second = {total, &host};
+            best = {request_cost, &host};
+        } else if (!second.second || request_cost < second.first) {
+            second = {request_cost, &host};
         }
     }
     std::vector<Host*> candidates{best.second, second.second};
--- a/src/decision/host_selector.h
+++ b/src/decision/host_selector.h
@@ -1,4 +1,4 @@
-// Which hosts a request may go to, and which of them are best.
+// Selects the hosts to which a request may be sent, and the best of them.
 #pragma once
 
 #include <vector>
@@ -24,22 +24,28 @@
           load_(load),
           outliers_(outliers) {}
 
-    // The best two of the first hosts, in this gateway's own order, that could take the request; the best one
-    // first; a warming host alone. A stable few, so that hundreds of gateways do not fill every host's
-    // connections, and each learns more of those that it uses.
+    // Returns the two hosts with the lowest cost, the lowest first, among the first available hosts in this
+    // gateway's order; or fewer, if fewer are available. A warming host that admits the request is returned
+    // alone. Each gateway prefers a stable small set of hosts, so that hundreds of gateways do not use up the
+    // connections of every host, and each gateway learns more about the hosts that it uses.
     [[nodiscard]] std::vector<Host*> select(const Request& request);
-    // The better of the request's candidates that have capacity and may take it; null where there is none.
+    // Returns the request's candidate with the lowest cost among those that have capacity and may take the
+    // request; null if there is none.
     [[nodiscard]] Host* best_candidate(const Request& request) const;
-    // Whether the host may take the request, by the rules on retries and hedged requests.
+    // Whether the rules on retries and hedged requests allow an attempt at the host.
     [[nodiscard]] bool may_take(const Host& host, const Request& request) const;
-    // Whether the host has capacity for one more. By its own fresh report it has while nothing queues there,
-    // whatever the limits learned.
+    // Whether the host has capacity for one more request. It has if its fresh load report shows no queue and
+    // has no number of outstanding requests, whatever the adaptive limit is.
     [[nodiscard]] bool has_capacity(const Host& host) const;
 
   private:
-    // Lower is better: the time that the host is likely to take, in relation to its weight.
+    // Cost of one more request at the host; lower is better. It is the time that the host probably takes for
+    // its outstanding requests and this one, divided by its current capacity.
     [[nodiscard]] double cost(const Host& host) const;
+    // The same for a given request: with its zone, last host and penalties, and with random noise.
     [[nodiscard]] double cost(const Host& host, const Request& request);
+    // Whether the host is usable and not ejected, may take the request, and has less than its concurrency
+    // limit outstanding. The limit does not count for hosts that have too few outcomes to be known.
     [[nodiscard]] bool is_available(const Host& host, const Request& request) const;
 
     Context& context_;
--- a/src/decision/load_estimator.cpp
+++ b/src/decision/load_estimator.cpp
@@ -9,25 +9,44 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr double slow_share_of_objective = 0.5;  // an answer beyond it counts as slow
-constexpr double slow_weight = 0.04;             // weight of one answer in the ratio of slow ones
-constexpr double overloaded_above = 0.25;        // ratio of slow responses
+// Share of the latency objective: a longer response counts as slow in the ratio that detects overload.
+constexpr double overload_response_share = 0.5;
+// Weight of one response in the ratio of slow responses.
+constexpr double slow_ratio_weight = 0.04;
+// Ratios of slow responses at which the hosts count as overloaded, as recovered, and as having capacity to
+// spare.
+constexpr double overloaded_above = 0.25;
 constexpr double recovered_below = 0.20;
 constexpr double spare_capacity_below = 0.08;
-constexpr double response_weight = 0.05;             // weight of one answer in mean response times
-constexpr double first_response_fleet_weight = 0.8;  // of the fleet's mean in a host's first response time
-constexpr double first_response_own_weight = 0.2;    // of the response itself
-constexpr double max_limit = 128;                    // attempts at one host, by all gateways
-constexpr double trusted_answers = 10;               // by which a host's own figures outweigh the fleet's
-constexpr double limit_growth = 1;                   // over the limit, for a good answer near it
-constexpr double limit_cut = 0.9;                    // factor, for a slow or failed answer
-constexpr double near_limit = 2;                     // attempts: a limit that is not used up is not raised
-constexpr double own_view_attempts = 2;  // in flight, by which the own view of a host outweighs the mean
-constexpr double known_answers = 10;     // answers in the memory that spare a health check
-constexpr double window_slack = 2;       // standard deviations that pass; they even out in sum
+// Weight of one response in the mean response times, and of one request in the mean units.
+constexpr double response_weight = 0.05;
+// A host's mean response time starts as a weighted sum of the mean over all hosts and of its first response.
+constexpr double first_response_fleet_weight = 0.8;
+constexpr double first_response_own_weight = 0.2;
+// Limit on the adaptive concurrency limits, in attempts of all gateways at one host.
+constexpr double max_limit = 128;
+// Number of recent outcomes at which a host's own figures weigh as much as those of all hosts; with more,
+// they outweigh them.
+constexpr double trusted_outcomes = 10;
+// A fast success near the limit raises the limit by this number of attempts divided by the limit.
+constexpr double limit_growth = 1;
+// A slow response, or a failure due to overload, multiplies the limit by this factor.
+constexpr double limit_reduction_factor = 0.9;
+// In attempts. A host's limit is raised only if its estimated load is within this margin of the limit: a
+// limit that is not used up is not raised.
+constexpr double limit_use_margin = 2;
+// Weight, in attempts, of the mean over all hosts in the estimate of a host's load. With more attempts of
+// this gateway in flight at the host, their number outweighs the mean.
+constexpr double fleet_mean_attempts = 2;
+// Number of recent outcomes from which a host gets requests without a health check.
+constexpr double known_outcomes = 10;
+// Standard deviations by which the window exceeds a gateway's even share. The excesses of all gateways even
+// out in sum.
+constexpr double window_deviations = 2;
 constexpr double min_response_s = 1e-3;
 constexpr double min_units = 1e-3;
-constexpr double idle_below = 0.5;  // queued requests
+// A host that reports fewer queued requests counts as idle.
+constexpr double idle_queue_below = 0.5;
 }  // namespace
 
 bool LoadEstimator::has_spare_capacity() const noexcept {
@@ -45,44 +64,47 @@
 bool LoadEstimator::window_open() { return in_flight_ + context_.uniform() < window(); }
 
 double LoadEstimator::window() const {
-    const double even = limit_ * static_cast<double>(hosts_.size()) / context_.settings().instances;
-    return even + window_slack * std::sqrt(even);
+    const double even_share = limit_ * static_cast<double>(hosts_.size()) / context_.settings().instances;
+    return even_share + window_deviations * std::sqrt(even_share);
 }
 
-double LoadEstimator::answers_seen(const Host& host) const {
-    return host.load.answers.value(context_.now(), response_memory_s);
+double LoadEstimator::recent_outcomes(const Host& host) const {
+    return host.load.recent_outcomes.value(context_.now(), response_memory_s);
 }
 
 bool LoadEstimator::is_known(const Host& host) const {
-    return !context_.settings().may_check_health || answers_seen(host) >= known_answers;
+    return !context_.settings().may_check_health || recent_outcomes(host) >= known_outcomes;
 }
 
-// Own attempts, and for each other gateway the mean of own attempts, moved to what is in flight here as far
-// as own attempts can tell. One rule from two gateways to hundreds.
+// Adds up this gateway's attempts at the host and an estimate for each other gateway. That estimate is the
+// mean number of this gateway's attempts at one host, shifted towards the number in flight at this host. The
+// same rule holds for two gateways and for hundreds.
 double LoadEstimator::estimated_outstanding(const Host& host) const {
     const double own = host.load.in_flight;
     const double hosts = static_cast<double>(std::max<std::size_t>(1, hosts_.size()));
-    const double mean = work_.value(context_.now(), sent_memory_s) / (sent_memory_s * hosts);  // Little's law
+    const double mean_outstanding =
+        attempt_seconds_.value(context_.now(), sent_memory_s) / (sent_memory_s * hosts);  // Little's law
     const double others = context_.settings().instances - 1;
-    return own + others * mean * (own + own_view_attempts) / (mean + own_view_attempts);
+    return own +
+           others * mean_outstanding * (own + fleet_mean_attempts) / (mean_outstanding + fleet_mean_attempts);
 }
 
 double LoadEstimator::outstanding(const Host& host) const {
     const double age = to_seconds(context_.since(host.load.reported_at)) / to_seconds(load_report_lifetime);
-    if (host.load.reported < 0 || age >= 1) return estimated_outstanding(host);
-    return (1 - age) * host.load.reported + age * estimated_outstanding(host);
+    if (host.load.reported_outstanding < 0 || age >= 1) return estimated_outstanding(host);
+    return (1 - age) * host.load.reported_outstanding + age * estimated_outstanding(host);
 }
 
 double LoadEstimator::limit(const Host& host) const {
-    const double answers = answers_seen(host);
-    const double trust = answers / (answers + trusted_answers);
+    const double outcomes = recent_outcomes(host);
+    const double trust = outcomes / (outcomes + trusted_outcomes);
     return trust * host.load.limit + (1 - trust) * limit_;
 }
 
 double LoadEstimator::blended_response_s(const Host& host) const {
-    const double answers = answers_seen(host);
+    const double outcomes = recent_outcomes(host);
     const double fleet = std::max(response_s_, min_response_s);
-    return (answers * host.load.response_s + trusted_answers * fleet) / (answers + trusted_answers);
+    return (outcomes * host.load.response_s + trusted_outcomes * fleet) / (outcomes + trusted_outcomes);
 }
 
 double LoadEstimator::typical_response_s(const Host& host) const {
@@ -94,7 +116,7 @@
 }
 
 void LoadEstimator::record_sent(Host& host, double units) {
-    if (host.load.reported >= 0) ++host.load.reported;
+    if (host.load.reported_outstanding >= 0) ++host.load.reported_outstanding;
     ++host.load.in_flight;
     ++in_flight_;
     mean_units_ += response_weight * (units - mean_units_);
@@ -105,7 +127,7 @@
         --host.load.in_flight;
         --in_flight_;
     }
-    work_.add(to_seconds(elapsed), context_.now(), sent_memory_s);
+    attempt_seconds_.add(to_seconds(elapsed), context_.now(), sent_memory_s);
 }
 
 void LoadEstimator::record_response(Host& host, double elapsed_s) {
@@ -123,38 +145,40 @@
     const double elapsed_s = to_seconds(ended.elapsed);
     if (success) record_response(host, elapsed_s);
     const bool over_slow_share = elapsed_s > slow_response_share * objective_s;
-    const bool turned_down = ended.outcome == Outcome::rejected;
-    const bool timed_out_late = ended.outcome == Outcome::timeout && over_slow_share;
-    const bool overload = !responds_fast(objective_s) && (turned_down || timed_out_late);
-    host.load.answers.add(1, context_.now(), response_memory_s);
-
-    const bool cut = overload || (success && over_slow_share);
-    const auto adapt = [&](double& limit, double least, bool in_use) {
-        if (cut) limit = std::max(least, limit * limit_cut);
+    const bool rejected = ended.outcome == Outcome::rejected;
+    const bool slow_timeout = ended.outcome == Outcome::timeout && over_slow_share;
+    const bool overload = !responds_fast(objective_s) && (rejected || slow_timeout);
+    host.load.recent_outcomes.add(1, context_.now(), response_memory_s);
+
+    const bool reduces_limit = overload || (success && over_slow_share);
+    const auto adapt = [&](double& limit, double minimum, bool in_use) {
+        if (reduces_limit) limit = std::max(minimum, limit * limit_reduction_factor);
         else if (success && in_use)
             limit = std::min(max_limit, limit + std::min(limit_growth / limit, limit / 4));
     };
-    adapt(host.load.limit, min_host_limit, estimated_outstanding(host) + near_limit > limit(host));
+    adapt(host.load.limit, min_host_limit, estimated_outstanding(host) + limit_use_margin > limit(host));
     adapt(limit_, min_fleet_limit, 2 * (in_flight_ + 1) > window());
 
     if (!success && !overload) return;
-    const bool slow = turned_down || elapsed_s > slow_share_of_objective * objective_s;
-    slow_response_ratio_ += slow_weight * ((slow ? 1 : 0) - slow_response_ratio_);
+    const bool slow = rejected || elapsed_s > overload_response_share * objective_s;
+    slow_response_ratio_ += slow_ratio_weight * ((slow ? 1 : 0) - slow_response_ratio_);
     overloaded_ = slow_response_ratio_ > (overloaded_ ? recovered_below : overloaded_above);
 }
 
 void LoadEstimator::record_report(Host& host, const LoadReport& report) {
-    // Where hosts report on health checks, a report that cannot be read says nothing, least of all idleness.
+    // Where hosts report their load on health checks, a report that cannot be read says nothing about the
+    // load. In particular, it must not count as idle.
     const bool unreadable = report.queued < 0 && report.outstanding < 0;
     if (context_.settings().reports == LoadReports::on_probe && unreadable) return;
     LoadState& load = host.load;
     load.reported_at = context_.now();
     load.reports_outstanding = report.outstanding >= 0;
-    // Also where hosts report nothing: the first to answer is taken.
-    load.idle = report.queued < idle_below;
-    if (report.outstanding >= 0) load.reported = report.outstanding;
-    else if (report.queued >= 0) load.reported = report.queued + estimated_outstanding(host);
-    else load.reported = -1;
+    // A missing queue length, below 0, counts as idle too. Where hosts report no load, the first host that
+    // answers its health check therefore gets the request.
+    load.idle = report.queued < idle_queue_below;
+    if (report.outstanding >= 0) load.reported_outstanding = report.outstanding;
+    else if (report.queued >= 0) load.reported_outstanding = report.queued + estimated_outstanding(host);
+    else load.reported_outstanding = -1;
 }
 
 }  // namespace gateway::decision
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -8,15 +8,22 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr int failures_to_eject = 3;  // in a row
+// Consecutive failures that eject a host.
+constexpr int failures_to_eject = 3;
+// The first ejection lasts this long, and each further one before a success twice as long as the one before,
+// up to the longest ejection.
 constexpr Micros first_ejection = 500ms;
 constexpr Micros longest_ejection = 8s;
-constexpr int max_doublings = 4;  // each further ejection lasts twice as long
+constexpr int max_doublings = 4;
 constexpr Micros penalty_time = 20s;
 constexpr double penalty_cost_factor = 16;
-constexpr double silent_responses = 3.5;  // expected responses missing that prove silence (e^-3.5 = 3%)
-constexpr double earliest_check = 0.25;   // of the latency objective
-constexpr double latest_check = 0.55;
+// A host counts as silent when this many expected responses are missing. A responsive host falls silent for
+// so long by chance with a probability of 3% (e^-3.5).
+constexpr double missing_responses_to_eject = 3.5;
+// Bounds of the delay before a silence check, as shares of the latency objective. A host that has been silent
+// for less than the lower bound is not ejected.
+constexpr double min_check_share = 0.25;
+constexpr double max_check_share = 0.55;
 }  // namespace
 
 bool OutlierDetector::is_ejected(const Host& host) const {
@@ -38,15 +45,16 @@
             host.outlier.ejections = 0;
             break;
         case Outcome::timeout:
-            // Only of a host that was silent all along. Guards against clients of little patience and costly
-            // requests ejecting good hosts.
+            // A timeout counts as a failure only if the host was silent throughout the attempt. This keeps
+            // clients with short timeouts and costly requests from ejecting healthy hosts.
             if (host.outlier.last_response_at + ended.elapsed < context_.now()) record_failures(host, 1);
             break;
         case Outcome::error:
         case Outcome::reset:
-            // One broken connection tells of that connection only: it may end under a request. A dead host
-            // breaks all that it holds, which adds up at once, and takes no new one. Guards against single
-            // resets ejecting every host; harms a request or two that find out.
+            // One broken connection is no evidence that the host is down: a connection may end while a
+            // request is in flight. A host that is down breaks all of its connections, so that failures add
+            // up at once, and accepts no new one. This keeps single resets from ejecting every host. The cost
+            // is one or two further failed requests before a host that is down is ejected.
             record_failures(host, 1);
             break;
         case Outcome::connect_failed:
@@ -77,14 +85,15 @@
 }
 
 Micros OutlierDetector::silence_check_delay(double objective_s) const {
-    return to_micros(std::clamp(silent_responses * load_.response_s(), earliest_check * objective_s,
-                                latest_check * objective_s));
+    return to_micros(std::clamp(missing_responses_to_eject * load_.response_s(),
+                                min_check_share * objective_s, max_check_share * objective_s));
 }
 
 bool OutlierDetector::eject_if_silent(Host& host, Micros sent_at, double objective_s) {
     const double silent_s = to_seconds(context_.since(std::max(host.outlier.last_response_at, sent_at)));
-    const double missing = host.load.in_flight * silent_s / load_.typical_response_s(host);
-    if (missing < silent_responses || silent_s < earliest_check * objective_s) return false;
+    const double missing_responses = host.load.in_flight * silent_s / load_.typical_response_s(host);
+    if (missing_responses < missing_responses_to_eject || silent_s < min_check_share * objective_s)
+        return false;
     record_failures(host, failures_to_eject);
     return true;
 }
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -1,4 +1,4 @@
-// The budget for retries and hedged requests: a share of the requests forwarded lately.
+// The budget for retries and hedged requests: a share of the recently forwarded requests.
 #pragma once
 
 #include "context.h"
@@ -6,14 +6,14 @@
 
 namespace gateway::decision {
 
-// Guards against retries that multiply the load on hosts that fail.
+// Limits retries, so that they do not multiply the load on failing hosts.
 class RetryPolicy {
   public:
     explicit RetryPolicy(const Context& context) : context_(context) {}
 
-    // A request's first attempt is sent: earns a part of a retry.
+    // Records that a request's first attempt is sent, which adds a fraction of a retry to the budget.
     void record_first_attempt();
-    // Takes one retry from the budget; false where it is spent.
+    // Takes one retry from the budget. Returns false and takes nothing if less than one is left.
     [[nodiscard]] bool take();
 
     void serialize(auto& codec) { codec(first_attempts_, retries_); }
--- a/src/decision/rule_guard.cpp
+++ b/src/decision/rule_guard.cpp
@@ -2,10 +2,12 @@
 
 namespace gateway::decision {
 namespace {
-// An answer is lost from so long after its deadline on; before, it only earns nothing.
-constexpr Micros lost_after = std::chrono::milliseconds(500);
+// An answer later than the deadline by at least this time counts as lost. An answer that is less late only
+// earns no weight.
+constexpr Micros late_answer_tolerance = std::chrono::milliseconds(500);
 
-bool crosses_completion(SendVerdict verdict) {
+// Whether the verdict means that the request ended before the decision to send was carried out.
+bool request_has_ended(SendVerdict verdict) {
     return verdict == SendVerdict::already_completed || verdict == SendVerdict::expired;
 }
 }  // namespace
@@ -13,7 +15,7 @@
 std::uint64_t RuleGuard::Violations::total() const {
     std::uint64_t sum = rejections + late_answers + unanswered;
     for (std::size_t verdict = 0; verdict < send_verdict_count; ++verdict)
-        if (!crosses_completion(static_cast<SendVerdict>(verdict))) sum += sends[verdict];
+        if (!request_has_ended(static_cast<SendVerdict>(verdict))) sum += sends[verdict];
     return sum;
 }
 
@@ -26,7 +28,8 @@
         host.cell = entry.cell;
         host.draining = entry.state != HostState::up;
     }
-    // A host that is not listed may not be sent to either, so those that drain need no memory.
+    // Sending to a host that is not listed is forbidden as well, so draining hosts need no entry unless they
+    // are banned.
     std::erase_if(hosts_, [](const auto& host) { return host.second.draining && !host.second.banned; });
 }
 
@@ -78,7 +81,7 @@
 void RuleGuard::answered(RequestId id, Micros now) {
     TrackedRequest* const request = find(id);
     if (request == nullptr) return;
-    if (!request->completed && now >= request->deadline + lost_after) ++violations_.late_answers;
+    if (!request->completed && now >= request->deadline + late_answer_tolerance) ++violations_.late_answers;
     request->completed = true;
 }
 
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -1,4 +1,4 @@
-// Slow start: how much a host that has started lately may be given.
+// Slow start: limits the requests to a host that has started recently.
 #pragma once
 
 #include <cstddef>
@@ -9,49 +9,52 @@
 
 namespace gateway::decision {
 
-// Counts the usable hosts that are warm and sums what was sent to them, so that a warming host gets the even
-// share of a warm one, scaled to the capacity that it surely has. Keeps pointers to hosts: `remove` comes
-// before a host ends.
+// Counts the usable hosts that are warm and sums the units sent to them. A warming host then gets the even
+// share of a warm host, scaled down to the capacity that it certainly has. Keeps pointers to hosts: `remove`
+// must be called before a host is destroyed.
 class SlowStart {
   public:
     explicit SlowStart(Context& context) : context_(context) {}
 
-    // Share of its full capacity that the host has now, from its start on.
+    // Share of its full capacity that the host has now. The share grows linearly from the host's start to 1.
     [[nodiscard]] double capacity_share(const Host& host) const;
-    // Whether the host still warms up while warm ones could serve.
+    // Whether the host is still warming up and there are warm hosts that could serve instead.
     [[nodiscard]] bool restricts(const Host& host) const {
         return capacity_share(host) < 1 && warm_count_ > 0;
     }
-    // Whether a warming host may take a request of so many units: a random draw with the part of a request
-    // that has come due since it was last considered as its chance. In sum over all gateways the share holds.
-    // Guards against herds on fresh hosts, retries too; harms where requests cost more than their units say.
+    // Whether a warming host may take a request of `units`. The decision is random. Its probability is the
+    // fraction of the request that has become due to the host since the host was last considered, so that the
+    // share holds in sum over all gateways. This guards against many gateways that send requests or retries
+    // to a fresh host at once. It fails to protect the host if requests cost more than their units.
     [[nodiscard]] bool admits(Host& host, double units);
-    // Units were sent to the host.
+    // Records that `units` are sent to the host.
     void record_sent(Host& host, double units);
 
-    // The host's start or whether it is usable has changed.
+    // Must be called when the host's start has changed, or whether it is usable.
     void update(Host& host);
-    // The host ends, is banned, or its sums are forgotten.
+    // Excludes the host from the counts. Must be called before the host is destroyed, banned or reset.
     void remove(Host& host);
-    // Counts those that have become warm; the warm rate is worked out anew.
+    // Counts the hosts that have become warm, and has the warm rate computed again at its next use.
     void refresh();
 
   private:
-    // By the time from which they are warm, then by place and name.
+    // Compares hosts by the time at which they become warm, then by order key and name.
     struct ByWarmTime {
         bool operator()(const Host* left, const Host* right) const;
     };
 
+    // Units a second that this gateway sends to a warm host.
     [[nodiscard]] double warm_rate();
-    void settle();
-    void count(Host& host);
+    // Moves hosts that have become warm from the warming set to the count of warm hosts.
+    void promote_warmed_up_hosts();
+    void add_warm_host(Host& host);
 
     Context& context_;
     std::size_t warm_count_ = 0;
-    DecayingCounter warm_sent_;  // units sent to the warm hosts
+    DecayingCounter warm_units_sent_;  // units sent to the warm hosts
     std::set<Host*, ByWarmTime> warming_;
-    double warm_rate_ = 0;  // units a second that a warm host gets from here
-    Micros warm_rate_at_{0};
+    double warm_rate_ = 0;    // the latest result of `warm_rate`
+    Micros warm_rate_at_{0};  // when `warm_rate_` was computed; 0: to be computed again
 };
 
 }  // namespace gateway::decision
--- a/src/decision/snapshot.cpp
+++ b/src/decision/snapshot.cpp
@@ -10,7 +10,7 @@
 namespace {
 constexpr std::uint32_t snapshot_version = 3;
 
-// The same for both directions.
+// Shared by save and restore, so that both use the same order of values.
 void serialize_counters(Modules& modules, auto& codec) {
     modules.context.serialize_nonce(codec);
     modules.load.serialize_responses(codec);
@@ -20,13 +20,13 @@
     modules.hosts.serialize_bans(codec);
 }
 
-void read(Modules& modules, SnapshotReader& reader) {
+void read_snapshot(Modules& modules, SnapshotReader& reader) {
     std::uint32_t version = 0;
     reader(version);
     if (version != snapshot_version) return;
     Micros saved_at{0};
     reader(saved_at);
-    reader.move_times(modules.context.since(saved_at));
+    reader.shift_times(modules.context.since(saved_at));
     serialize_counters(modules, reader);
     std::map<std::string, Host> hosts;
     reader(hosts);
@@ -56,9 +56,9 @@
 void restore_snapshot(Modules& modules, const std::string& bytes) {
     try {
         SnapshotReader reader(bytes);
-        read(modules, reader);
+        read_snapshot(modules, reader);
     } catch (const std::out_of_range&) {
-        // Cut short: what was read serves, the rest is as after a start.
+        // The snapshot is truncated. The values read so far are used; the others stay as after a start.
     }
     for (auto& [name, customer] : modules.customers) settle_inherited(customer);
 }
--- a/src/decision/snapshot.h
+++ b/src/decision/snapshot.h
@@ -1,4 +1,4 @@
-// What an upgrade leaves to the next process: which state, in which order and version.
+// Saves and restores the state that an upgrade hands over to the next process.
 #pragma once
 
 #include <string>
@@ -7,9 +7,11 @@
 
 namespace gateway::decision {
 
+// Returns the state of all modules in the byte format of snapshot_codec.h.
 [[nodiscard]] std::string save_snapshot(Modules& modules);
-// Ignores a snapshot of another version. Of one that is cut short, what was read until then is in force.
-// Requests that the former process had admitted and not forwarded count as in flight.
+// Restores the state from a snapshot. A snapshot of another version is ignored. Of a truncated snapshot, the
+// values before its end are used. Requests that the former process had admitted and not forwarded count as in
+// flight.
 void restore_snapshot(Modules& modules, const std::string& bytes);
 
 }  // namespace gateway::decision
--- a/src/decision/snapshot_codec.h
+++ b/src/decision/snapshot_codec.h
@@ -1,7 +1,7 @@
-// The byte format of snapshots: plain values, one after the other, in the machine's byte order.
+// The byte format of snapshots: plain values in sequence, in the machine's byte order.
 //
 // A type with several fields has a member template `serialize(codec)`, which passes its fields to the codec
-// in order. Writer and reader are both such codecs, so that the order stands in one place.
+// in order. SnapshotWriter and SnapshotReader are both codecs, so that the order of fields is defined once.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 
 namespace gateway::decision {
 
-// A set or map.
+// A set or map, ordered or hashed.
 template <class T>
 concept KeyedTable = requires {
     typename T::key_type;
@@ -33,9 +33,9 @@
     void operator()(Values&... values) {
         (put(values), ...);
     }
-    // A time that is not of this process's clock, and that the reader must not move.
-    void stamp(std::chrono::microseconds& time) { put(time); }
-    // The bytes written; the writer is empty afterwards.
+    // Writes a time that is not from this process's clock, so that the reader must not shift it.
+    void unshifted_time(std::chrono::microseconds& time) { put(time); }
+    // Returns the bytes written and empties the writer.
     [[nodiscard]] std::string take() { return std::move(bytes_); }
 
   private:
@@ -59,39 +59,39 @@
         const auto count = static_cast<std::uint32_t>(size);
         put(count);
     }
-    // By key, because the order of a hash table must not show.
+    // Writes the entries sorted by key, so that the bytes do not depend on the order of a hash table.
     template <class Table>
     void put_table(Table& table) {
-        const auto key_of = [](const auto& row) -> const typename Table::key_type& {
-            if constexpr (KeyedMap<Table>) return row.first;
-            else return row;
+        const auto key_of = [](const auto& entry) -> const typename Table::key_type& {
+            if constexpr (KeyedMap<Table>) return entry.first;
+            else return entry;
         };
-        std::vector<decltype(&*table.begin())> rows;
-        rows.reserve(table.size());
-        for (auto& row : table) rows.push_back(&row);
-        std::sort(rows.begin(), rows.end(),
+        std::vector<decltype(&*table.begin())> entries;
+        entries.reserve(table.size());
+        for (auto& entry : table) entries.push_back(&entry);
+        std::sort(entries.begin(), entries.end(),
                   [&](auto* left, auto* right) { return key_of(*left) < key_of(*right); });
-        put_size(rows.size());
-        for (auto* row : rows) {
-            put(key_of(*row));
-            if constexpr (KeyedMap<Table>) put(row->second);
+        put_size(entries.size());
+        for (auto* entry : entries) {
+            put(key_of(*entry));
+            if constexpr (KeyedMap<Table>) put(entry->second);
         }
     }
 
     std::string bytes_;
 };
 
-// Every read throws std::out_of_range where the bytes end too soon.
+// Every read throws std::out_of_range if too few bytes are left.
 class SnapshotReader {
   public:
     // The bytes must outlive the reader.
-    explicit SnapshotReader(std::string_view bytes) : rest_(bytes) {}
+    explicit SnapshotReader(std::string_view bytes) : remaining_(bytes) {}
 
-    // From now on adds the offset to each time but 0, which stands for none: the writer's clock had another
-    // origin.
-    void move_times(std::chrono::microseconds offset) { time_offset_ = offset; }
-    // A time that is not moved.
-    void stamp(std::chrono::microseconds& time) {
+    // Adds the offset to each time that is read from now on, because the writer's clock may have had another
+    // origin. Times of 0 mean no time and stay 0.
+    void shift_times(std::chrono::microseconds offset) { time_offset_ = offset; }
+    // Reads a time without adding the offset.
+    void unshifted_time(std::chrono::microseconds& time) {
         const auto offset = std::exchange(time_offset_, std::chrono::microseconds{0});
         get(time);
         time_offset_ = offset;
@@ -102,11 +102,11 @@
     }
 
   private:
-    std::string_view cut(std::size_t size) {
-        if (size > rest_.size()) throw std::out_of_range("snapshot: cut short");
-        const std::string_view part = rest_.substr(0, size);
-        rest_.remove_prefix(size);
-        return part;
+    std::string_view read_bytes(std::size_t size) {
+        if (size > remaining_.size()) throw std::out_of_range("snapshot is truncated");
+        const std::string_view bytes = remaining_.substr(0, size);
+        remaining_.remove_prefix(size);
+        return bytes;
     }
     template <class T>
     T next() {
@@ -117,24 +117,24 @@
     template <class T>
     void get(T& value) {
         if constexpr (std::is_same_v<T, std::string>) {
-            value = cut(next<std::uint32_t>());
+            value = read_bytes(next<std::uint32_t>());
         } else if constexpr (std::is_same_v<T, std::chrono::microseconds>) {
             value = T(next<std::int64_t>());
             if (value.count() != 0) value += time_offset_;
         } else if constexpr (KeyedMap<T>) {
-            for (auto rows = next<std::uint32_t>(); rows > 0; --rows)
+            for (auto entries = next<std::uint32_t>(); entries > 0; --entries)
                 get(value[next<typename T::key_type>()]);
         } else if constexpr (KeyedTable<T>) {
-            for (auto rows = next<std::uint32_t>(); rows > 0; --rows)
+            for (auto entries = next<std::uint32_t>(); entries > 0; --entries)
                 value.insert(next<typename T::key_type>());
         } else if constexpr (std::is_arithmetic_v<T>) {
-            std::memcpy(&value, cut(sizeof value).data(), sizeof value);
+            std::memcpy(&value, read_bytes(sizeof value).data(), sizeof value);
         } else {
             value.serialize(*this);
         }
     }
 
-    std::string_view rest_;
+    std::string_view remaining_;
     std::chrono::microseconds time_offset_{0};
 };
 
--- a/src/decision/warm_up_limiter.cpp
+++ b/src/decision/warm_up_limiter.cpp
@@ -4,9 +4,10 @@
 
 namespace gateway::decision {
 namespace {
-// SmoothWarmingUp's coldInterval / stableInterval, as the design sets it.
+// Ratio of SmoothWarmingUp's coldInterval to its stableInterval, as the design sets it.
 constexpr double cold_factor = 3;
 
+// The most permits that the limiter stores.
 double max_permits(double stable_interval_s, double warm_up_s) {
     const double threshold = 0.5 * warm_up_s / stable_interval_s;
     return threshold + 2 * warm_up_s / (stable_interval_s + cold_factor * stable_interval_s);
@@ -31,9 +32,9 @@
     const double spent = std::min(permits, stored_);
     const double above_threshold = std::max(0.0, stored_ - threshold);
     const double spent_above = std::min(above_threshold, spent);
-    const double climb_s =
+    const double above_threshold_s =
         spent_above * (2 * stable_interval_s + slope * (2 * above_threshold - spent_above)) / 2;
-    next_free_ += to_micros(climb_s + stable_interval_s * (spent - spent_above) +
+    next_free_ += to_micros(above_threshold_s + stable_interval_s * (spent - spent_above) +
                             stable_interval_s * (permits - spent));
     stored_ -= spent;
 }
--- a/tests/decision/host_list_test.cpp
+++ b/tests/decision/host_list_test.cpp
@@ -1,5 +1,5 @@
-// The upkeep of the host list: the choice of hosts under many changes, and that the work of one change does
-// not grow with the list.
+// The order of hosts under changes of the endpoint list: which hosts are selected, and how much work one
+// change takes.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -12,7 +12,7 @@
 namespace {
 using namespace std::chrono_literals;
 
-// FNV-1a over what the module decides.
+// FNV-1a hash of the module's decisions.
 class Digest {
   public:
     void add(const std::string& text) {
@@ -31,12 +31,13 @@
     std::uint64_t value_ = 14695981039346656037ULL;
 };
 
-// A gateway under requests whose hosts restart, drain, leave, come back, are banned and listed anew.
+// A gateway under a stream of requests, with hosts that restart, drain, leave, come back, are banned and are
+// listed again at random.
 class ChurnedGateway {
   public:
     ChurnedGateway() : gateway_(settings(), 7, now_) {
-        for (int host = 0; host < hosts; ++host) up_.emplace_back(entry(host, 0us));
-        HostsChanged list{true, up_};
+        for (int host = 0; host < hosts; ++host) listed_.emplace_back(entry(host, 0us));
+        HostsChanged list{true, listed_};
         handle(list);
     }
     static Settings settings() {
@@ -57,15 +58,15 @@
     }
     void step() {
         now_ += Micros(500 + random_() % 4000);
-        while (!due_.empty() && due_.begin()->first <= now_) {
-            const Event event = due_.begin()->second;
-            due_.erase(due_.begin());
+        while (!due_events_.empty() && due_events_.begin()->first <= now_) {
+            const Event event = due_events_.begin()->second;
+            due_events_.erase(due_events_.begin());
             handle(event);
         }
-        arrive();
+        send_request();
         if (random_() % 8 == 0) change();
-        if (random_() % 200 == 0) handle(HostsChanged{true, up_});
-        if (random_() % 100 == 0) handle(HostBanned{up_[random_() % hosts].host, random_() % 2 == 0});
+        if (random_() % 200 == 0) handle(HostsChanged{true, listed_});
+        if (random_() % 100 == 0) handle(HostBanned{listed_[random_() % hosts].host, random_() % 2 == 0});
     }
     std::uint64_t digest() const { return digest_.value(); }
     std::uint64_t sent() const { return sent_; }
@@ -82,9 +83,9 @@
                 1,
                 started};
     }
-    void arrive() {
+    void send_request() {
         RequestArrived arrival;
-        arrival.id = next_++;
+        arrival.id = next_request_++;
         arrival.customer = "c";
         arrival.plan = -1;
         arrival.time_left = 600ms;
@@ -93,7 +94,7 @@
     }
     void change() {
         const auto host = random_() % hosts;
-        HostEntry changed = up_[host];
+        HostEntry changed = listed_[host];
         switch (random_() % 4) {
             case 0:
                 changed.state = HostState::draining;
@@ -102,7 +103,7 @@
                 changed.state = HostState::gone;
                 break;
             default:
-                changed = up_[host] = entry(static_cast<int>(host), now_ - Micros(random_() % 1000000));
+                changed = listed_[host] = entry(static_cast<int>(host), now_ - Micros(random_() % 1000000));
         }
         handle(HostsChanged{false, {changed}});
     }
@@ -112,36 +113,37 @@
         for (const Action& action : actions) {
             digest_.add(action);
             if (const auto* timer = std::get_if<SetTimer>(&action))
-                due_.emplace(now_ + timer->from_now, TimerFired{timer->token});
-            if (const auto* attempt = std::get_if<SendAttempt>(&action)) end_later(*attempt);
+                due_events_.emplace(now_ + timer->from_now, TimerFired{timer->token});
+            if (const auto* attempt = std::get_if<SendAttempt>(&action)) schedule_end(*attempt);
         }
     }
-    void end_later(const SendAttempt& attempt) {
+    void schedule_end(const SendAttempt& attempt) {
         ++sent_;
-        const Micros took = Micros(5000 + random_() % 90000);
+        const Micros elapsed = Micros(5000 + random_() % 90000);
         AttemptEnded ended;
         ended.id = attempt.id;
         ended.attempt = attempts_[attempt.id]++;
         ended.host = attempt.host;
-        ended.elapsed = took;
+        ended.elapsed = elapsed;
         ended.outcome = random_() % 20 == 0 ? Outcome::error : Outcome::success;
         ended.request_completed = ended.outcome == Outcome::success;
-        due_.emplace(now_ + took, ended);
+        due_events_.emplace(now_ + elapsed, ended);
     }
 
     Micros now_ = 1h;
     std::mt19937_64 random_{3};
     Gateway gateway_;
-    std::vector<HostEntry> up_;
-    std::multimap<Micros, Event> due_;
+    std::vector<HostEntry> listed_;
+    std::multimap<Micros, Event> due_events_;
     Digest digest_;
-    std::map<RequestId, int> attempts_;  // begun, by request
-    RequestId next_ = 1;
+    std::map<RequestId, int> attempts_;  // number of attempts begun, by request
+    RequestId next_request_ = 1;
     std::uint64_t sent_ = 0;
 };
 
-// The digest is the one that a list sorted anew at each change gave: an index must not change any choice.
-TEST(HostList, ChangesOfTheListChooseTheSameHostsAsAListSortedAnew) {
+// The expected digest comes from an implementation that sorted the whole list at each change. The index must
+// select the same hosts.
+TEST(HostList, TheIndexSelectsTheSameHostsAsAListSortedAtEachChange) {
     ChurnedGateway gateway;
     for (int step = 0; step < 20000; ++step) gateway.step();
     EXPECT_GT(gateway.sent(), 15000u);
@@ -152,46 +154,47 @@
     struct {
         std::string host;
     } entry;
-    std::uint32_t place = 0;
+    std::uint32_t order_key = 0;
 };
-struct CountingByPlace {
+struct CountingByOrderKey {
     std::uint64_t* comparisons;
     bool operator()(const ListedHost* left, const ListedHost* right) const {
         ++*comparisons;
-        return ByPlace{}(left, right);
+        return ByOrderKey{}(left, right);
     }
 };
 
-// Comparisons for each of 1,000 hosts taken out of a list of so many and put back, the front made anew each
-// time.
+// Erases 1,000 hosts, one after the other, from an order of `size` hosts and inserts each again, and rebuilds
+// the front after each step. Returns the mean number of comparisons for one host.
 double comparisons_of_a_change(std::size_t size) {
     std::vector<ListedHost> hosts(size);
     std::mt19937 random(5);
     std::uint64_t comparisons = 0;
     constexpr std::size_t front = 32, changes = 1000;
-    HostOrder<ListedHost, CountingByPlace> order(front, {&comparisons});
+    HostOrder<ListedHost, CountingByOrderKey> order(front, {&comparisons});
     for (ListedHost& host : hosts) {
         host.entry.host = std::to_string(order.size());
-        host.place = static_cast<std::uint32_t>(random());
+        host.order_key = static_cast<std::uint32_t>(random());
         order.insert(host);
     }
     comparisons = 0;
     for (std::size_t change = 0; change < changes; ++change) {
         ListedHost& host = hosts[random() % size];
         order.erase(host);
-        order.restart();
+        order.rebuild_front();
         order.insert(host);
-        order.restart();
+        order.rebuild_front();
     }
     EXPECT_EQ(order.size(), size);
     EXPECT_EQ(order.front_size(), std::min(front, size));
     return static_cast<double>(comparisons) / changes;
 }
 
-TEST(HostList, TheWorkOfOneChangeGrowsWithTheLogarithmOfTheList) {
+TEST(HostList, TheComparisonsForOneChangeGrowWithTheLogarithmOfTheNumberOfHosts) {
     const double small = comparisons_of_a_change(1000), large = comparisons_of_a_change(64000);
     EXPECT_LT(small, 60);
-    // 64 times the hosts are six more levels, gone down twice, with what a tree may be out of balance.
+    // 64 times as many hosts add six levels to a balanced tree. Each change descends twice, and the tree may
+    // be out of balance by a factor of two.
     EXPECT_LT(large - small, 2 * 6 * 2);
 }
 
--- a/tests/decision/unit/slow_start_test.cpp
+++ b/tests/decision/unit/slow_start_test.cpp
@@ -8,13 +8,13 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr Micros warming_time = 10s;
+constexpr Micros slow_start_time = 10s;
 
 class SlowStartTest : public testing::Test {
   protected:
     static Settings slow_start_settings() {
         Settings settings = fleet_settings(1);
-        settings.slow_start_time = warming_time;
+        settings.slow_start_time = slow_start_time;
         settings.slow_start_capacity = 0.2;
         return settings;
     }
@@ -32,18 +32,18 @@
     Host warming = host_started("warming", start_time);
 };
 
-TEST_F(SlowStartTest, TheCapacityGrowsEvenlyFromTheStartOn) {
+TEST_F(SlowStartTest, TheCapacityShareGrowsLinearlyFromTheHostsStart) {
     EXPECT_DOUBLE_EQ(slow_start.capacity_share(warm), 1) << "started long ago";
     EXPECT_DOUBLE_EQ(slow_start.capacity_share(warming), 0.2);
     EXPECT_DOUBLE_EQ(slow_start.capacity_share(host_started("future", start_time + 1s)), 0.2);
 
-    event.advance(warming_time / 2);
+    event.advance(slow_start_time / 2);
     EXPECT_DOUBLE_EQ(slow_start.capacity_share(warming), 0.6);
-    event.advance(warming_time / 2);
+    event.advance(slow_start_time / 2);
     EXPECT_DOUBLE_EQ(slow_start.capacity_share(warming), 1);
 }
 
-TEST_F(SlowStartTest, AWarmingHostIsRestrictedOnlyWhileAWarmOneCouldServe) {
+TEST_F(SlowStartTest, AWarmingHostIsRestrictedOnlyWhileAWarmHostIsUsable) {
     slow_start.update(warming);
     EXPECT_FALSE(slow_start.restricts(warming));
 
@@ -56,7 +56,7 @@
     EXPECT_FALSE(slow_start.restricts(warming));
 }
 
-TEST_F(SlowStartTest, ARequestIsAdmittedByWhatHasComeDueSinceTheLastConsideration) {
+TEST_F(SlowStartTest, ARequestIsAdmittedByTheTimeSinceTheHostWasLastConsidered) {
     const double small_request = 0.001;
     slow_start.update(warm);
     slow_start.update(warming);
@@ -64,10 +64,11 @@
     event.advance(1s);
 
     EXPECT_TRUE(slow_start.admits(warming, small_request));
-    EXPECT_FALSE(slow_start.admits(warming, small_request)) << "no time has passed since";
+    EXPECT_FALSE(slow_start.admits(warming, small_request))
+        << "no time has passed since the last consideration";
 }
 
-TEST_F(SlowStartTest, NothingIsAdmittedWhileNothingIsSentToWarmHosts) {
+TEST_F(SlowStartTest, NoRequestIsAdmittedWhileWarmHostsGetNoRequests) {
     slow_start.update(warm);
     slow_start.update(warming);
     event.advance(1s);
@@ -75,17 +76,17 @@
     EXPECT_FALSE(slow_start.admits(warming, 1));
 }
 
-TEST_F(SlowStartTest, AHostCountsAsWarmFromTheEndOfItsWarmingUp) {
+TEST_F(SlowStartTest, AHostCountsAsWarmFromTheEndOfItsSlowStart) {
     slow_start.update(warming);
-    event.advance(warming_time - 1us);
+    event.advance(slow_start_time - 1us);
     slow_start.refresh();
-    EXPECT_FALSE(warming.slow_start.counted);
-    EXPECT_TRUE(warming.slow_start.awaited);
+    EXPECT_FALSE(warming.slow_start.counted_as_warm);
+    EXPECT_TRUE(warming.slow_start.in_warming_set);
 
     event.advance(1us);
     slow_start.refresh();
-    EXPECT_TRUE(warming.slow_start.counted);
-    EXPECT_FALSE(warming.slow_start.awaited);
+    EXPECT_TRUE(warming.slow_start.counted_as_warm);
+    EXPECT_FALSE(warming.slow_start.in_warming_set);
 }
 
 }  // namespace
--- a/tests/decision/unit/snapshot_codec_test.cpp
+++ b/tests/decision/unit/snapshot_codec_test.cpp
@@ -37,7 +37,7 @@
     EXPECT_TRUE(read_absent.empty());
 }
 
-TEST(SnapshotCodec, TheOrderOfAHashTableDoesNotShow) {
+TEST(SnapshotCodec, BytesDoNotDependOnTheOrderOfAHashTable) {
     std::unordered_map<std::uint32_t, int> ascending;
     std::unordered_map<std::uint32_t, int> descending(1000);
     for (std::uint32_t key = 0; key < 100; ++key) ascending[key] = 1;
@@ -50,45 +50,45 @@
     EXPECT_EQ(first.take(), second.take());
 }
 
-TEST(SnapshotCodec, TimesAreMovedToTheReadersClockButForNoneAndStamps) {
+TEST(SnapshotCodec, TimesAreShiftedToTheReadersClockExceptZeroAndUnshiftedTimes) {
     Micros time = 10s;
     Micros none{0};
-    Micros stamp = 20s;
+    Micros unshifted = 20s;
     SnapshotWriter writer;
     writer(time, none);
-    writer.stamp(stamp);
+    writer.unshifted_time(unshifted);
     writer(time);
     const std::string bytes = writer.take();
 
-    Micros moved{0};
+    Micros shifted{0};
     Micros still_none{0};
-    Micros kept{0};
-    Micros moved_again{0};
+    Micros read_unshifted{0};
+    Micros shifted_again{0};
     SnapshotReader reader(bytes);
-    reader.move_times(3s);
-    reader(moved, still_none);
-    reader.stamp(kept);
-    reader(moved_again);
+    reader.shift_times(3s);
+    reader(shifted, still_none);
+    reader.unshifted_time(read_unshifted);
+    reader(shifted_again);
 
-    EXPECT_EQ(moved, 13s);
+    EXPECT_EQ(shifted, 13s);
     EXPECT_EQ(still_none, 0s);
-    EXPECT_EQ(kept, 20s);
-    EXPECT_EQ(moved_again, 13s);
+    EXPECT_EQ(read_unshifted, 20s);
+    EXPECT_EQ(shifted_again, 13s);
 }
 
-void expect_cut_short(const std::string& bytes) {
+void expect_truncated(const std::string& bytes) {
     SnapshotReader reader(bytes);
     std::string name;
     EXPECT_THROW(reader(name), std::out_of_range) << bytes.size();
 }
 
-TEST(SnapshotCodec, BytesThatEndTooSoonThrow) {
+TEST(SnapshotCodec, ReadingTruncatedBytesThrows) {
     std::string name = "customer";
     SnapshotWriter writer;
     writer(name);
     const std::string bytes = writer.take();
 
-    for (std::size_t size = 0; size < bytes.size(); ++size) expect_cut_short(bytes.substr(0, size));
+    for (std::size_t size = 0; size < bytes.size(); ++size) expect_truncated(bytes.substr(0, size));
 }
 
 }  // namespace
