--- a/tests/decision/retry_test.cpp
+++ b/tests/decision/retry_test.cpp
@@ -1,16 +1,16 @@
-// Which attempts and retries are allowed, and that each request is completed in time.
+// Which attempts and retries are allowed, and that every request is completed in time.
 #include "gateway_fixture.h"
 
 namespace gateway::decision::test {
 
-TEST(Attempts, EveryRequestGetsItsAnswerInTime) {
+TEST(Attempts, ARequestWithoutAResponseIsCompletedByItsDeadline) {
     ClockedGateway gateway(single_gateway_settings(), {host("a")});
     gateway.request(1, 1, 300ms);
-    const auto out = gateway.advance(300ms);
-    EXPECT_EQ(actions_of<RejectRequest>(out).size() + actions_of<FailRequest>(out).size(), 1u);
+    const auto actions = gateway.advance(300ms);
+    EXPECT_EQ(actions_of<RejectRequest>(actions).size() + actions_of<FailRequest>(actions).size(), 1u);
 }
 
-TEST(Attempts, NothingGoesToADrainingHost) {
+TEST(Attempts, ADrainingHostGetsNoAttempts) {
     ClockedGateway gateway(single_gateway_settings());
     gateway.handle(HostsChanged{false, {host("a", HostState::draining)}});
     for (RequestId id = 1; id <= 2; ++id) {
@@ -20,13 +20,13 @@
     }
 }
 
-TEST(Attempts, NoHostsMeansAnAnswerAllTheSame) {
+TEST(Attempts, ARequestWithoutAnyListedHostIsRejected) {
     ClockedGateway gateway(single_gateway_settings(), {});
     gateway.request(1);
     EXPECT_EQ(actions_of<RejectRequest>(gateway.advance(2s)).size(), 1u);
 }
 
-TEST(Attempts, AKeyedRequestStaysInItsCellAndIsNotRejectedOnceItMayHaveRun) {
+TEST(Attempts, ARequestWithAKeyIsRetriedOnlyInItsCellAndFailsOnceItMayHaveRun) {
     Settings settings = single_gateway_settings();
     settings.classes[0].idempotency = Idempotency::with_key;
     settings.classes[0].deduplication_scope = DeduplicationScope::cell;
@@ -39,18 +39,18 @@
         const auto first = actions_of<SendAttempt>(gateway.request(1));
         ASSERT_EQ(first.size(), 1u);
         gateway.now += 50ms;
-        const auto next = gateway.end_attempt(1, first[0].host, Outcome::reset, 50ms);
-        EXPECT_TRUE(actions_of<RejectRequest>(next).empty());
-        for (const SendAttempt& attempt : actions_of<SendAttempt>(next))
+        const auto actions = gateway.end_attempt(1, first[0].host, Outcome::reset, 50ms);
+        EXPECT_TRUE(actions_of<RejectRequest>(actions).empty());
+        for (const SendAttempt& attempt : actions_of<SendAttempt>(actions))
             EXPECT_EQ(attempt.host == "a", first[0].host == "a");
         EXPECT_TRUE(actions_of<RejectRequest>(gateway.advance(2s)).empty());
         EXPECT_EQ(actions_of<FailRequest>(gateway.actions).size(), 1u);
     }
 }
 
-// Found on zone+brink, seed 310: a repeat decided on within the window could come behind it, as connections
-// come up late.
-TEST(Attempts, AKeyedRequestIsRepeatedOnlyWhereALateConnectionStaysWithinTheWindow) {
+// A retry that is decided within the deduplication window may reach the host after the window, because its
+// connection may take up to the connect timeout.
+TEST(Attempts, ARequestWithAKeyIsRetriedOnlyIfTheConnectTimeoutEndsWithinTheWindow) {
     for (const bool late : {false, true}) {
         Settings settings = single_gateway_settings();
         settings.classes[0].idempotency = Idempotency::with_key;
@@ -60,22 +60,22 @@
         ClockedGateway gateway(settings);
         const auto first = actions_of<SendAttempt>(gateway.request(1));
         ASSERT_EQ(first.size(), 1u);
-        const Micros took = late ? 200ms : 100ms;
-        gateway.now += took;
-        const auto next = gateway.end_attempt(1, first[0].host, Outcome::reset, took);
-        EXPECT_EQ(actions_of<SendAttempt>(next).size(), late ? 0u : 1u);
+        const Micros elapsed = late ? 200ms : 100ms;
+        gateway.now += elapsed;
+        const auto actions = gateway.end_attempt(1, first[0].host, Outcome::reset, elapsed);
+        EXPECT_EQ(actions_of<SendAttempt>(actions).size(), late ? 0u : 1u);
     }
 }
 
-TEST(Attempts, AnUnsafeRequestIsNotRepeatedOnceItMayHaveRun) {
+TEST(Attempts, ANonIdempotentRequestIsNotRetriedOnceItMayHaveRun) {
     Settings settings = single_gateway_settings();
     settings.classes[0].idempotency = Idempotency::not_idempotent;
     ClockedGateway gateway(settings, {host("a"), host("b"), host("c")});
     const auto first = actions_of<SendAttempt>(gateway.request(1));
     ASSERT_EQ(first.size(), 1u);
-    const auto next = gateway.end_attempt(1, first[0].host, Outcome::reset, 50ms);
-    EXPECT_TRUE(actions_of<SendAttempt>(next).empty());
-    EXPECT_EQ(actions_of<FailRequest>(next).size(), 1u);
+    const auto actions = gateway.end_attempt(1, first[0].host, Outcome::reset, 50ms);
+    EXPECT_TRUE(actions_of<SendAttempt>(actions).empty());
+    EXPECT_EQ(actions_of<FailRequest>(actions).size(), 1u);
     ASSERT_EQ(actions_of<SendAttempt>(gateway.request(2)).size(), 1u);
     EXPECT_EQ(
         actions_of<SendAttempt>(gateway.end_attempt(2, actions_of<SendAttempt>(gateway.actions).back().host,
@@ -84,17 +84,17 @@
         1u);
 }
 
-// Found in page8618: clients reset their connections within milliseconds of a request, and hosts worked on
-// for nobody.
-TEST(Cancel, AttemptsOfAClientThatLeftAreCancelled) {
+// Clients may reset their connections within milliseconds of a request, and hosts then work on responses that
+// nobody reads (page8618).
+TEST(Cancel, AttemptsOfADisconnectedClientAreCancelledIfTheSettingsAllowIt) {
     Settings settings = single_gateway_settings();
-    for (const bool may : {true, false}) {
-        settings.may_cancel = may;
+    for (const bool may_cancel : {true, false}) {
+        settings.may_cancel = may_cancel;
         ClockedGateway gateway(settings);
         const auto sent = actions_of<SendAttempt>(gateway.request(1));
         ASSERT_EQ(sent.size(), 1u);
         const auto cancelled = actions_of<CancelAttempt>(gateway.handle(ClientDisconnected{1}));
-        ASSERT_EQ(cancelled.size(), may ? 1u : 0u);
+        ASSERT_EQ(cancelled.size(), may_cancel ? 1u : 0u);
         for (const CancelAttempt& cancel : cancelled) EXPECT_EQ(cancel.attempt, 0);
         EXPECT_TRUE(actions_of<CancelAttempt>(gateway.handle(ClientDisconnected{1})).empty());
         gateway.request(2);
@@ -103,15 +103,15 @@
     }
 }
 
-// Found by the soak: the timer that decides in time would come behind the deadline itself, on the grid of the
-// tick.
-TEST(Deadline, ARequestWithLessTimeThanTwoTicksIsDecidedAtOnce) {
-    for (const Micros left : {1us, 1000us, 4000us, 8000us}) {
+// Timers fire only at whole ticks. With less than two ticks left, the timer for a decision in time would fire
+// after the deadline.
+TEST(Deadline, ARequestWithAtMostTwoTicksLeftIsRejectedAtOnce) {
+    for (const Micros time_left : {1us, 1000us, 4000us, 8000us}) {
         Settings settings = single_gateway_settings();
-        settings.may_check_health = true;  // it would wait for a probe
+        settings.may_check_health = true;  // otherwise the request would wait for a health check
         ClockedGateway gateway(settings);
-        const auto actions = gateway.request(1, 1, left, -1);
-        ASSERT_EQ(actions_of<RejectRequest>(actions).size(), 1u) << left.count();
+        const auto actions = gateway.request(1, 1, time_left, -1);
+        ASSERT_EQ(actions_of<RejectRequest>(actions).size(), 1u) << time_left.count();
         EXPECT_EQ(actions_of<RejectRequest>(actions)[0].reason, RejectionReason::expired_on_arrival);
     }
 }
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Hosts that are warming up after a start, a restart or a ban.
+// Slow start of hosts after a start, a restart or an unban.
 #include <deque>
 
 #include "fleet.h"
@@ -8,45 +8,45 @@
 
 namespace {
 
-// Sends requests, 10 ms apart, and counts those that go to host a.
-struct TwoHosts {
+// A gateway with the hosts a and b. `sent` sends requests, 10 ms apart, and counts the attempts at host a.
+struct TwoHostGateway {
     ClockedGateway gateway;
     RequestId id = 1;
-    explicit TwoHosts(Settings settings)
+    explicit TwoHostGateway(Settings settings)
         : gateway((settings.plans[0].rate = settings.plans[0].burst = 1e6, settings),
                   {host("a"), host("b")}) {
         gateway.now += 3h;
         gateway.handle(HostsChanged{true, {host("a"), host("b")}});
     }
     int sent(int requests) {
-        int to_a = 0;
+        int attempts_at_a = 0;
         for (const RequestId last = id + static_cast<RequestId>(requests); id < last; ++id) {
             gateway.advance(10ms);
             for (const SendAttempt& attempt : actions_of<SendAttempt>(gateway.request(id))) {
-                to_a += attempt.host == "a";
+                attempts_at_a += attempt.host == "a";
                 gateway.end_attempt(id, attempt.host, Outcome::success, 5ms);
             }
         }
-        return to_a;
+        return attempts_at_a;
     }
-    void restart_a(Micros told_start) {
+    void restart_a(Micros reported_start) {
         HostEntry restarted = host("a");
-        restarted.started = told_start;
+        restarted.started = reported_start;
         gateway.handle(HostsChanged{false, {restarted}});
     }
 };
 
 }  // namespace
 
-// All instances together must stay under the multiple of the cold host's capacity; one of two takes half at
-// most.
-TEST(SlowStart, AFreshHostGetsASmallBudgetThatGrows) {
+// All gateways together must keep the load of a cold host below `overload_multiple` times its capacity. One
+// of two gateways may use half of that at most.
+TEST(SlowStart, AFreshHostGetsFewRequestsAtFirstAndMoreLater) {
     Settings settings = single_gateway_settings();
     settings.plans[0].rate = settings.plans[0].burst = 0;
     ClockedGateway gateway(settings, {host("a"), host("b"), host("c")});
     RequestId id = 1;
     std::deque<SendAttempt> out;
-    const auto run = [&](Micros span) {  // 20 requests a second, each answered after 200 ms
+    const auto run = [&](Micros span) {  // sends 20 requests a second, each answered after 200 ms
         std::map<std::string, int> count;
         for (Micros passed{0}; passed < span; passed += 50ms) {
             gateway.advance(50ms);
@@ -66,18 +66,19 @@
     cold.started = gateway.now;
     gateway.handle(HostsChanged{false, {cold}});
     const auto early = run(2s), late = run(8s);
-    EXPECT_LE(early.at("c"), 6);  // 2 s at a fifth to a third of 6.7 a second, and one or two at once
+    EXPECT_LE(early.at("c"), 6);  // 2 s at a fifth to a third of 6.7 requests a second, and one or two extra
     EXPECT_GT(late.at("c"), 15);
 }
 
-// Found in the code: any token above nothing sent a whole request, so hundreds could each send one at once.
-TEST(SlowStart, HundredsOfGatewaysTogetherKeepToTheSharesSum) {
+// Under a token bucket, any number of tokens above 0 admitted a whole request, so that hundreds of gateways
+// could each send one to a cold host at once.
+TEST(SlowStart, HundredsOfGatewaysTogetherSendAColdHostNoMoreThanItsShare) {
     Settings settings = settings_of_one_of_two();
     settings.plans[0].rate = settings.plans[0].burst = 0;
     Fleet fleet(settings, 300, 3);
     fleet.answer_after = 100'000us;
     RequestId id = 0;
-    const auto run = [&](Micros span) {  // 100 requests a second on four hosts
+    const auto run = [&](Micros span) {  // sends 100 requests a second to four hosts
         int cold = 0;
         for (Micros passed{0}; passed < span; passed += 10ms) {
             fleet.advance(10ms);
@@ -90,26 +91,26 @@
     HostEntry cold = host("d");
     cold.started = fleet.now;
     for (ClockedGateway& gateway : fleet.gateways) gateway.handle(HostsChanged{false, {cold}});
-    EXPECT_LE(run(2s), 25);  // 25 a second are its even share; a fifth of that to start with
-    EXPECT_GT(run(8s), 20);  // and it is not starved
+    EXPECT_LE(run(2s), 25);  // its even share is 25 a second; it starts with a fifth of that
+    EXPECT_GT(run(8s), 20);  // the host gets enough requests later
 }
 
-// The wall clock may be stepped: a host that was seen to restart is cold from then on, whatever its stamp
-// says.
-TEST(SlowStart, ARestartStampedLongAgoWarmsUpAllTheSame) {
-    TwoHosts shared(single_gateway_settings());
-    const int warm = shared.sent(400);
-    shared.restart_a(shared.gateway.now - 1h);
-    const int cold = shared.sent(400);
+// A step of the wall clock can make a reported start wrong. A host whose reported start changes has restarted
+// and is cold from then on, even if the reported time is long ago.
+TEST(SlowStart, ARestartWithAReportedStartLongAgoCausesASlowStart) {
+    TwoHostGateway fixture(single_gateway_settings());
+    const int warm = fixture.sent(400);
+    fixture.restart_a(fixture.gateway.now - 1h);
+    const int cold = fixture.sent(400);
     EXPECT_GT(cold, 0);
     EXPECT_LT(cold, warm * 3 / 4);
-    shared.gateway.advance(11s);
-    EXPECT_GT(shared.sent(400), warm * 3 / 4);
+    fixture.gateway.advance(11s);
+    EXPECT_GT(fixture.sent(400), warm * 3 / 4);
 }
 
-// The first list is the one known at the start, of any age: what the next one tells of starts in between is
-// no surprise.
-TEST(SlowStart, ARestartSinceTheKnownListIsBelieved) {
+// The first endpoint list is the one that was cached when the process started, and may be of any age. A
+// restart between it and the next list may therefore be long ago, and the reported start is plausible.
+TEST(SlowStart, ALongPastRestartSinceTheCachedListCausesNoSlowStart) {
     Settings settings = single_gateway_settings();
     settings.plans[0].rate = settings.plans[0].burst = 1e6;
     ClockedGateway gateway(settings, {});
@@ -121,28 +122,28 @@
     restarted.started = gateway.now - 1h;
     gateway.advance(100ms);
     gateway.handle(HostsChanged{true, {restarted, host("b")}});
-    int to_a = 0;
+    int attempts_at_a = 0;
     for (RequestId id = 1; id <= 400; ++id) {
         gateway.advance(10ms);
         for (const SendAttempt& attempt : actions_of<SendAttempt>(gateway.request(id))) {
-            to_a += attempt.host == "a";
+            attempts_at_a += attempt.host == "a";
             gateway.end_attempt(id, attempt.host, Outcome::success, 5ms);
         }
     }
-    EXPECT_GT(to_a, 150);
+    EXPECT_GT(attempts_at_a, 150);
 }
 
-TEST(SlowStart, ARestartStampedInTheFutureWarmsUpNoLonger) {
-    TwoHosts shared(single_gateway_settings());
-    const int warm = shared.sent(400);
-    shared.restart_a(shared.gateway.now + 1h);
-    EXPECT_LT(shared.sent(400), warm * 3 / 4);
-    shared.restart_a(shared.gateway.now + 1h - 4s);  // the same stamp, told again
-    shared.gateway.advance(11s);
-    EXPECT_GT(shared.sent(400), warm * 3 / 4);
+TEST(SlowStart, ARestartWithAReportedStartInTheFutureExtendsNoSlowStart) {
+    TwoHostGateway fixture(single_gateway_settings());
+    const int warm = fixture.sent(400);
+    fixture.restart_a(fixture.gateway.now + 1h);
+    EXPECT_LT(fixture.sent(400), warm * 3 / 4);
+    fixture.restart_a(fixture.gateway.now + 1h - 4s);  // the same reported start again
+    fixture.gateway.advance(11s);
+    EXPECT_GT(fixture.sent(400), warm * 3 / 4);
 }
 
-TEST(Ban, HoldsWhateverTheListSaysAndTheHostComesBackCold) {
+TEST(Ban, ABanOutlastsEndpointListsAndTheHostIsColdAfterTheUnban) {
     Settings settings = single_gateway_settings();
     settings.plans[0].rate = settings.plans[0].burst = 1e6;
     ClockedGateway gateway(settings, {host("a"), host("b")});
@@ -168,7 +169,7 @@
     gateway.handle(HostsChanged{true, {restarted, host("b")}});
     EXPECT_EQ(sent_to_a(200), 0);
     gateway.handle(HostBanned{"a", false});
-    // One word back answers any number of bans; the host counts as cold from now on, and is used.
+    // One unban lifts any number of bans. The host then counts as cold, and gets requests.
     const int cold = sent_to_a(400);
     EXPECT_GT(cold, 0);
     EXPECT_LT(cold, warm * 3 / 4);
@@ -177,7 +178,7 @@
     EXPECT_GT(sent_to_a(400), 100);
 }
 
-// Found on day 3 of the full score: with 3 warm hosts of 8 the 5 cold ones stood almost idle for 10 s.
+// With 3 warm hosts of 8, the 5 cold hosts were almost idle for 10 s.
 TEST(SlowStart, FewWarmHostsDoNotKeepManyColdOnesIdle) {
     Settings settings = single_gateway_settings();
     settings.plans[0].rate = settings.plans[0].burst = 1e6;
@@ -202,8 +203,8 @@
     gateway.handle(HostsChanged{true, hosts});
     run(500);
     int cold = 0, warm = 0;
-    for (const auto& [name, n] : sent) (name < "h5" ? cold : warm) += n;
-    // At 0.2 to 0.6 of their capacity they get two fifths of what a warm host gets, one for one.
+    for (const auto& [name, attempts] : sent) (name < "h5" ? cold : warm) += attempts;
+    // At 0.2 to 0.6 of its capacity, a cold host gets two fifths of what a warm host gets.
     EXPECT_GT(cold / 5.0, 0.15 * warm / 3.0);
     EXPECT_LT(cold / 5.0, 0.6 * warm / 3.0);
 }
--- a/tests/decision/snapshot_compatibility_test.cpp
+++ b/tests/decision/snapshot_compatibility_test.cpp
@@ -1,5 +1,5 @@
-// A snapshot that the program of commit 77e24d2 saved is restored. How it was recorded, and the history
-// behind it: tests/fixtures/README.md
+// Restores a snapshot that was saved by the program of commit 77e24d2. tests/fixtures/README.md describes how
+// it was recorded, and the events before it.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -15,24 +15,24 @@
 
 namespace {
 
-// Clock times of the recording.
+// Clock times in the recording.
 constexpr Micros host_restarted_at = 28s;
 constexpr Micros restored_at = 30s + 20ms;
 constexpr Micros other_clock_ahead = 1h;
-// In the snapshot the mean time of an answer is below this. Attempts that the former process had in flight
-// count for two of them.
+// Longer than twice the mean response time in the snapshot: attempts that the former process had in flight
+// count as in flight for two mean response times.
 constexpr Micros inherited_attempts_over = 1500ms;
 
 constexpr int no_plan = -1;
 enum PlanIndex { metered, concurrent, ceiling, paced };
 
-// Those who send requests in the recording after the snapshot is restored.
-struct Caller {
+// A customer whose requests arrive in the recording after the snapshot is restored.
+struct RecordedCustomer {
     const char* customer;
     int plan;
     int set_size;
 };
-constexpr Caller callers[] = {
+constexpr RecordedCustomer recorded_customers[] = {
     {"unlimited", no_plan, 1},    {"over-quota", metered, 1},
     {"over-ceiling", ceiling, 1}, {"in-flight", concurrent, 1},
     {"paced", paced, 1},          {"leased-1", metered, 3},
@@ -83,15 +83,16 @@
             make_host("draining", 0us, HostState::draining)};
 }
 
-template <class Wanted>
-std::vector<Wanted> actions_of(const std::vector<Action>& actions) {
-    std::vector<Wanted> found;
+template <class Kind>
+std::vector<Kind> actions_of(const std::vector<Action>& actions) {
+    std::vector<Kind> found;
     for (const Action& action : actions)
-        if (const auto* wanted = std::get_if<Wanted>(&action)) found.push_back(*wanted);
+        if (const auto* match = std::get_if<Kind>(&action)) found.push_back(*match);
     return found;
 }
 
-// A gateway that knows the recorded hosts, with a clock of its own; timers fire as the clock passes them.
+// The gateway of the next process, with the recorded hosts and its own clock. Timers fire when the clock
+// passes their time.
 class NextProcess {
   public:
     explicit NextProcess(Micros now = restored_at) : now_(now), gateway_(recorded_settings(), 2, now) {
@@ -144,7 +145,8 @@
         handle(ended);
     }
 
-    // Attempts at each host for so many requests without a quota, one each 10 ms, all answered at once.
+    // Sends requests without a quota, one every 10 ms, and ends each attempt successfully at once. Returns
+    // the number of attempts at each host.
     std::map<std::string, int> attempts_by_host(int requests) {
         std::map<std::string, int> attempts;
         for (int i = 0; i < requests; ++i) {
@@ -171,7 +173,7 @@
 
 struct SnapshotCompatibility : ::testing::Test {
     NextProcess restored;
-    NextProcess started_anew;  // for comparison: restores nothing
+    NextProcess without_snapshot;  // for comparison: restores no snapshot
 
     void SetUp() override { restored.restore("snapshot-77e24d2.bin"); }
 
@@ -185,11 +187,11 @@
 
 }  // namespace
 
-TEST_F(SnapshotCompatibility, SavesTheSameBytesAsTheFormerVersion) {
+TEST_F(SnapshotCompatibility, ARestoredSnapshotIsSavedWithTheBytesOfTheRecordedVersion) {
     EXPECT_EQ(restored.hand_over(), gateway::test::read_fixture("snapshot-77e24d2-handed-on.bin"));
 }
 
-TEST_F(SnapshotCompatibility, SavesTheSameBytesAsTheFormerVersionByAClockOfAnotherOrigin) {
+TEST_F(SnapshotCompatibility, ASnapshotRestoredOnAnotherClockIsSavedWithTheBytesOfTheRecordedVersion) {
     NextProcess ahead(restored_at + other_clock_ahead);
     ahead.restore("snapshot-77e24d2.bin");
     const std::string expected = gateway::test::read_fixture("snapshot-77e24d2-handed-on-other-clock.bin");
@@ -197,12 +199,13 @@
     EXPECT_NE(expected, gateway::test::read_fixture("snapshot-77e24d2-handed-on.bin"));
 }
 
-// Fields read in another order would be saved in that order again: only their use shows it.
-TEST_F(SnapshotCompatibility, SavesTheSameBytesAsTheFormerVersionAfterUse) {
+// Fields that are read in a wrong order are saved in the same wrong order. Only the gateway's decisions then
+// differ.
+TEST_F(SnapshotCompatibility, ASnapshotIsSavedAfterRequestsWithTheBytesOfTheRecordedVersion) {
     for (int round = 0; round < 300; ++round) {
         restored.advance(10ms);
-        for (const Caller& caller : callers) {
-            const auto actions = restored.request(caller.customer, caller.plan, caller.set_size);
+        for (const RecordedCustomer& recorded : recorded_customers) {
+            const auto actions = restored.request(recorded.customer, recorded.plan, recorded.set_size);
             for (const SendAttempt& attempt : actions_of<SendAttempt>(actions))
                 restored.end_attempt(attempt, Outcome::success);
         }
@@ -211,31 +214,31 @@
 }
 
 TEST_F(SnapshotCompatibility, ABannedHostGetsNoAttemptsUntilTheBanIsLifted) {
-    EXPECT_GT(started_anew.attempts_by_host(400)["banned"], 0);
+    EXPECT_GT(without_snapshot.attempts_by_host(400)["banned"], 0);
     EXPECT_EQ(restored.attempts_by_host(400)["banned"], 0);
     restored.handle(HostBanned{"banned", false});
     EXPECT_GT(restored.attempts_by_host(400)["banned"], 0);
 }
 
-TEST_F(SnapshotCompatibility, AHostPutBackIsStillWarmingUp) {
+TEST_F(SnapshotCompatibility, AnUnbannedHostIsStillWarmingUp) {
     const int warming_up = restored.attempts_by_host(400)["put-back"];
     EXPECT_GT(warming_up, 0);
     restored.advance(10s);
     const int warm = restored.attempts_by_host(400)["put-back"];
     EXPECT_LT(warming_up, warm * 3 / 4) << warm;
-    // Without the snapshot it is warm from the start.
-    const int warm_from_the_start = started_anew.attempts_by_host(400)["put-back"];
-    started_anew.advance(10s);
-    EXPECT_GT(warm_from_the_start, started_anew.attempts_by_host(400)["put-back"] * 3 / 4);
+    // Without the snapshot the host is warm from the start.
+    const int warm_from_the_start = without_snapshot.attempts_by_host(400)["put-back"];
+    without_snapshot.advance(10s);
+    EXPECT_GT(warm_from_the_start, without_snapshot.attempts_by_host(400)["put-back"] * 3 / 4);
 }
 
-TEST_F(SnapshotCompatibility, AnEjectedHostGetsNoAttemptsAtOnce) {
-    EXPECT_GT(started_anew.attempts_by_host(20)["failing"], 0);
+TEST_F(SnapshotCompatibility, AnEjectedHostGetsNoAttemptsUntilItsEjectionEnds) {
+    EXPECT_GT(without_snapshot.attempts_by_host(20)["failing"], 0);
     EXPECT_EQ(restored.attempts_by_host(20)["failing"], 0);
     EXPECT_GT(restored.attempts_by_host(1000)["failing"], 0);
 }
 
-TEST_F(SnapshotCompatibility, FailuresInARowBeforeTheHandoverCountTowardsEjection) {
+TEST_F(SnapshotCompatibility, ConsecutiveFailuresBeforeTheHandoverCountTowardsEjection) {
     const auto sent_to_warm_1_after_one_failure = [](NextProcess& process) {
         bool failed = false;
         int attempts_after = 0;
@@ -243,55 +246,55 @@
             process.advance(5ms);
             for (const SendAttempt& attempt :
                  actions_of<SendAttempt>(process.request("unlimited", no_plan))) {
-                const bool fails = attempt.host == "warm-1" && !failed;
+                const bool fail_attempt = attempt.host == "warm-1" && !failed;
                 attempts_after += attempt.host == "warm-1" && failed;
-                failed = failed || fails;
-                process.end_attempt(attempt, fails ? Outcome::reset : Outcome::success);
+                failed = failed || fail_attempt;
+                process.end_attempt(attempt, fail_attempt ? Outcome::reset : Outcome::success);
             }
         }
         EXPECT_TRUE(failed);
         return attempts_after;
     };
-    EXPECT_GT(sent_to_warm_1_after_one_failure(started_anew), 0);
+    EXPECT_GT(sent_to_warm_1_after_one_failure(without_snapshot), 0);
     EXPECT_EQ(sent_to_warm_1_after_one_failure(restored), 0);
 }
 
-TEST_F(SnapshotCompatibility, ASpentQuotaRejects) {
-    EXPECT_EQ(actions_of<SendAttempt>(started_anew.request("over-quota", metered)).size(), 1u);
+TEST_F(SnapshotCompatibility, ARequestBeyondASpentQuotaIsRejected) {
+    EXPECT_EQ(actions_of<SendAttempt>(without_snapshot.request("over-quota", metered)).size(), 1u);
     expect_rejected(restored.request("over-quota", metered), RejectionReason::over_quota);
     EXPECT_EQ(actions_of<SendAttempt>(restored.request("newcomer", metered)).size(), 1u);
 }
 
-TEST_F(SnapshotCompatibility, ASpentCeilingRejects) {
+TEST_F(SnapshotCompatibility, ARequestBeyondASpentCeilingIsRejected) {
     expect_rejected(restored.request("over-ceiling", ceiling), RejectionReason::over_quota);
     restored.advance(5s);
     EXPECT_EQ(actions_of<SendAttempt>(restored.request("over-ceiling", ceiling)).size(), 1u);
 }
 
 TEST_F(SnapshotCompatibility, AttemptsInFlightAtTheHandoverCountAgainstTheConcurrencyLimit) {
-    EXPECT_EQ(actions_of<SendAttempt>(started_anew.request("in-flight", concurrent)).size(), 1u);
+    EXPECT_EQ(actions_of<SendAttempt>(without_snapshot.request("in-flight", concurrent)).size(), 1u);
     EXPECT_TRUE(actions_of<SendAttempt>(restored.request("in-flight", concurrent)).empty());
-    // Held until it is too late to send it.
-    const auto held = restored.advance(inherited_attempts_over);
-    EXPECT_TRUE(actions_of<SendAttempt>(held).empty());
-    EXPECT_EQ(actions_of<RejectRequest>(held).size(), 1u);
+    // The request waits until it is too late to send it.
+    const auto while_waiting = restored.advance(inherited_attempts_over);
+    EXPECT_TRUE(actions_of<SendAttempt>(while_waiting).empty());
+    EXPECT_EQ(actions_of<RejectRequest>(while_waiting).size(), 1u);
     EXPECT_EQ(actions_of<SendAttempt>(restored.request("in-flight", concurrent)).size(), 1u);
 }
 
 TEST_F(SnapshotCompatibility, UnitsLeasedFromAPeerAreSpentWithoutANewLease) {
-    const auto asked = started_anew.request("leased-1", metered, 3);
-    EXPECT_TRUE(actions_of<SendAttempt>(asked).empty());
-    EXPECT_EQ(actions_of<SendMessage>(asked).size(), 1u);
+    const auto actions = without_snapshot.request("leased-1", metered, 3);
+    EXPECT_TRUE(actions_of<SendAttempt>(actions).empty());
+    EXPECT_EQ(actions_of<SendMessage>(actions).size(), 1u);
     EXPECT_EQ(actions_of<SendAttempt>(restored.request("leased-1", metered, 3)).size(), 1u);
 }
 
-TEST_F(SnapshotCompatibility, AHomeThatHadNothingLeftIsNotAskedAgainAtOnce) {
+TEST_F(SnapshotCompatibility, NoLeaseRequestFollowsAtOnceAfterALeaseHolderHadNoUnitsLeft) {
     const auto actions = restored.request("dry", metered, 3);
     EXPECT_TRUE(actions_of<SendMessage>(actions).empty());
     expect_rejected(actions, RejectionReason::over_quota);
 }
 
-TEST_F(SnapshotCompatibility, UnitsGrantedToALeaseHolderAreNotGrantedAgain) {
+TEST_F(SnapshotCompatibility, UnitsGrantedToAPeerAreNotGrantedAgain) {
     const auto grant_to_peer = [](NextProcess& process) {
         LeaseRequest request;
         request.nonce = 11;
@@ -302,7 +305,7 @@
         const auto replies = actions_of<SendMessage>(process.handle(MessageArrived{1, encode({request})}));
         return replies.size() == 1 ? std::get<LeaseGrant>(decode(replies[0].bytes)->at(0)) : LeaseGrant{};
     };
-    EXPECT_EQ(grant_to_peer(started_anew).units, 2);
+    EXPECT_EQ(grant_to_peer(without_snapshot).units, 2);
     const LeaseGrant second = grant_to_peer(restored);
     EXPECT_EQ(second.nonce, 11u);
     EXPECT_EQ(second.units, 0);
--- a/tests/decision/unit/health_checker_test.cpp
+++ b/tests/decision/unit/health_checker_test.cpp
@@ -7,11 +7,11 @@
 namespace gateway::decision {
 namespace {
 
-TEST(HealthChecker, ChecksBeyondTheBudgetAreRefusedAndCostNothing) {
+TEST(HealthChecker, ChecksBeyondTheBudgetAreRefusedAndTakeNothing) {
     EventContext event;
     HealthChecker checker(event.context);
 
-    checker.earn();  // no more than four are saved
+    checker.earn();  // the budget holds four checks at most and is already full
 
     EXPECT_FALSE(checker.take(5));
     EXPECT_TRUE(checker.take(4));
@@ -19,7 +19,7 @@
     EXPECT_TRUE(checker.take(0));
 }
 
-TEST(HealthChecker, ARequestEarnsThisGatewaysPartOfTwelveChecks) {
+TEST(HealthChecker, EachRequestCreditsOneGatewaysPartOfTwelveChecks) {
     EventContext event(fleet_settings(24));
     HealthChecker checker(event.context);
     ASSERT_TRUE(checker.take(4));
@@ -30,7 +30,7 @@
     EXPECT_TRUE(checker.take(1));
 }
 
-TEST(HealthChecker, RequestsThatWaitForTheSameHostShareOneCheck) {
+TEST(HealthChecker, RequestsWaitingForTheSameHostShareOneCheck) {
     EventContext event;
     HealthChecker checker(event.context);
     Host host;
@@ -44,7 +44,7 @@
     EXPECT_TRUE(HealthChecker::finish(host).empty());
 
     checker.request(host, 3);
-    EXPECT_EQ(event.emitted<CheckHealth>().size(), 2u) << "the check before it has ended";
+    EXPECT_EQ(event.emitted<CheckHealth>().size(), 2u) << "the previous health check has ended";
 }
 
 }  // namespace
--- a/tests/decision/unit/host_registry_test.cpp
+++ b/tests/decision/unit/host_registry_test.cpp
@@ -34,7 +34,7 @@
     HostRegistry hosts{event.context, slow_start};
 };
 
-TEST_F(HostRegistryTest, AHostThatIsGoneStaysUntilItsLastAttemptEnds) {
+TEST_F(HostRegistryTest, AGoneHostStaysRegisteredUntilItsLastAttemptEnds) {
     update({entry_of("kept"), entry_of("leaving")});
     hosts.find("leaving")->load.in_flight = 1;
 
@@ -51,8 +51,8 @@
     EXPECT_EQ(hosts.size(), 1u);
 }
 
-TEST_F(HostRegistryTest, ABanHoldsWhateverTheListSays) {
-    EXPECT_TRUE(hosts.set_banned("host", true)) << "also of a host that is not listed yet";
+TEST_F(HostRegistryTest, ABanOutlastsEndpointListsUntilTheUnban) {
+    EXPECT_TRUE(hosts.set_banned("host", true)) << "a host that is not listed yet can be banned";
     EXPECT_FALSE(hosts.set_banned("host", true));
     update({entry_of("host")});
     EXPECT_FALSE(hosts.find("host")->usable());
@@ -64,7 +64,7 @@
     EXPECT_TRUE(hosts.find("host")->usable());
 }
 
-TEST_F(HostRegistryTest, AHostThatIsPutBackCountsAsStartedNow) {
+TEST_F(HostRegistryTest, AnUnbannedHostCountsAsStartedNow) {
     update({entry_of("host", 1s)});
     hosts.set_banned("host", true);
     event.advance(5s);
@@ -73,26 +73,27 @@
     EXPECT_EQ(hosts.find("host")->entry.started, start_time + 5s);
 
     update({entry_of("host", 1s)});
-    EXPECT_EQ(hosts.find("host")->entry.started, start_time + 5s) << "the list reports the restart late";
+    EXPECT_EQ(hosts.find("host")->entry.started, start_time + 5s)
+        << "the list has not reported a restart yet";
 }
 
-TEST_F(HostRegistryTest, ARestartedHostKeepsNothingButItsAttemptsInFlight) {
+TEST_F(HostRegistryTest, ARestartedHostKeepsOnlyItsAttemptsInFlight) {
     update({entry_of("host", 1s)});
     Host& host = *hosts.find("host");
     host.load.in_flight = 2;
     host.outlier.failures = 2;
 
     update({entry_of("host", 1s)});
-    EXPECT_EQ(host.outlier.failures, 2) << "the same start: the same host";
+    EXPECT_EQ(host.outlier.failures, 2) << "an unchanged start is no restart";
     update({entry_of("host", 99s)});
     EXPECT_EQ(host.outlier.failures, 0);
     EXPECT_EQ(host.load.in_flight, 2);
 }
 
-TEST_F(HostRegistryTest, AStartThatCannotBeTrueCountsAsNow) {
+TEST_F(HostRegistryTest, AnImplausibleStartCountsAsNow) {
     update({entry_of("possible", 1s), entry_of("too early", 1s), entry_of("future", start_time + 1h)});
     EXPECT_EQ(hosts.find("future")->entry.started, start_time);
-    update({}, false);  // the latest list before the restarts, at 100 s
+    update({}, false);  // the latest list before the restarts, received at 100 s
     event.advance(100s);
 
     // A start is reported 30 s late at most.
--- a/tests/decision/unit/host_selector_test.cpp
+++ b/tests/decision/unit/host_selector_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 using namespace std::chrono_literals;
 
-// A lone gateway: a host's limit is 2 attempts in flight at first.
+// In a fleet of one gateway, a host's initial limit is 2 attempts in flight.
 class HostSelectorTest : public testing::Test {
   protected:
     static Settings slow_start_settings() {
@@ -41,7 +41,7 @@
     Request request;
 };
 
-TEST_F(HostSelectorTest, TheBestTwoHostsAreSelectedTheBestFirst) {
+TEST_F(HostSelectorTest, TheTwoCheapestHostsAreSelectedTheCheapestFirst) {
     EXPECT_TRUE(selector.select(request).empty());
     Host& idle = list("idle");
     EXPECT_EQ(selector.select(request), std::vector<Host*>{&idle});
@@ -50,10 +50,11 @@
     busy.load.in_flight = 1;
     Host& far = list("far", "distant");
     far.load.in_flight = 1;
-    EXPECT_EQ(selector.select(request), (std::vector<Host*>{&idle, &busy})) << "another zone costs more";
+    EXPECT_EQ(selector.select(request), (std::vector<Host*>{&idle, &busy}))
+        << "a host in another zone costs more";
 }
 
-TEST_F(HostSelectorTest, AHostThatCannotTakeTheRequestIsLeftOut) {
+TEST_F(HostSelectorTest, AnUnavailableHostIsNotSelected) {
     list("draining").entry.state = HostState::draining;
     list("banned").banned = true;
     list("ejected").outlier.ejected_until = start_time + 1us;
@@ -64,7 +65,7 @@
     EXPECT_EQ(selector.select(request), std::vector<Host*>{&available});
 }
 
-TEST_F(HostSelectorTest, ARetryGoesToAnotherHostWhereThereIsOne) {
+TEST_F(HostSelectorTest, ARetryPrefersAHostOtherThanTheLast) {
     Host& last = list("last");
     request.last_host = "last";
     EXPECT_EQ(selector.select(request), std::vector<Host*>{&last});
@@ -73,7 +74,7 @@
     EXPECT_EQ(selector.select(request), (std::vector<Host*>{&other, &last}));
 }
 
-TEST_F(HostSelectorTest, WhatTheRulesForbidIsNotSelected) {
+TEST_F(HostSelectorTest, AHostIsNotSelectedIfTheRulesForbidTheAttempt) {
     Host& host = list("host");
     EXPECT_TRUE(selector.may_take(host, request));
 
@@ -84,19 +85,19 @@
     EXPECT_TRUE(selector.may_take(host, request));
     request.history.begin_attempt(1, {}, start_time);
     request.history.end_attempt(1, Outcome::error);
-    EXPECT_FALSE(selector.may_take(host, request)) << "both attempts are used up";
+    EXPECT_FALSE(selector.may_take(host, request)) << "both allowed attempts are used up";
 }
 
-TEST_F(HostSelectorTest, AWarmingHostIsLeftOutWhileItsShareIsNotDue) {
+TEST_F(HostSelectorTest, AWarmingHostIsNotSelectedBeforeItsShareIsDue) {
     Host& warming = list("warming", "near", start_time);
-    EXPECT_EQ(selector.select(request), std::vector<Host*>{&warming}) << "no warm host could serve";
+    EXPECT_EQ(selector.select(request), std::vector<Host*>{&warming}) << "there is no warm host";
 
     Host& warm = list("warm");
     warm.load.in_flight = 1;
     EXPECT_EQ(selector.select(request), std::vector<Host*>{&warm});
 }
 
-TEST_F(HostSelectorTest, TheBestCandidateHasCapacityByItsReportOrItsLimit) {
+TEST_F(HostSelectorTest, TheBestCandidateHasCapacityByItsLoadReportOrItsLimit) {
     Host& full = list("full");
     full.load.in_flight = 2;
     Host& busy = list("busy");
@@ -109,7 +110,7 @@
     LoadReport nothing_queued;
     nothing_queued.queued = 0;
     load.record_report(full, nothing_queued);
-    EXPECT_TRUE(selector.has_capacity(full)) << "whatever the limit learned";
+    EXPECT_TRUE(selector.has_capacity(full)) << "an empty queue in a fresh report overrides the limit";
     event.advance(250ms);
     EXPECT_FALSE(selector.has_capacity(full)) << "the report is no longer fresh";
 }
--- a/tests/decision/unit/load_estimator_test.cpp
+++ b/tests/decision/unit/load_estimator_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr double objective_s = 1;
 
-// A lone gateway, so that its own attempts are all that a host has.
+// In a fleet of one gateway, its own attempts are all the requests at a host.
 struct LoadModules {
     explicit LoadModules(const Settings& settings = fleet_settings(1)) : event(settings) {
         host.entry.host = "host";
@@ -33,7 +33,7 @@
     Host host;
 };
 
-TEST(LoadEstimator, TheFleetIsOverloadedFromAQuarterOfSlowAnswersUntilAFifth) {
+TEST(LoadEstimator, HostsAreOverloadedFromAQuarterOfSlowResponsesUntilAFifth) {
     LoadModules modules;
     modules.end_attempts(7, Outcome::success, 501ms);
     EXPECT_FALSE(modules.load.overloaded());
@@ -47,7 +47,7 @@
     EXPECT_FALSE(modules.load.overloaded());
 }
 
-TEST(LoadEstimator, RejectionsAndTimeoutsAmongFastAnswersAreNotLoad) {
+TEST(LoadEstimator, RejectionsAndTimeoutsWhileResponsesAreFastDoNotCountAsLoad) {
     LoadModules modules;
     modules.end_attempt(Outcome::success, 10ms);
     const double limit = modules.host.load.limit;
@@ -60,7 +60,7 @@
     EXPECT_DOUBLE_EQ(modules.host.load.limit, limit);
 }
 
-TEST(LoadEstimator, ASlowAnswerCutsTheLimitOfItsHostDownToTwo) {
+TEST(LoadEstimator, EachSlowResponseReducesTheLimitOfItsHostDownToTwo) {
     LoadModules modules;
     modules.end_attempt(Outcome::success, 250ms);
     EXPECT_GE(modules.host.load.limit, LoadState::initial_limit) << "a quarter of the objective is not slow";
@@ -72,7 +72,7 @@
     EXPECT_DOUBLE_EQ(modules.host.load.limit, 2);
 }
 
-TEST(LoadEstimator, AReportLosesWeightUntilTheEndOfItsLifetime) {
+TEST(LoadEstimator, ALoadReportLosesWeightUntilTheEndOfItsLifetime) {
     LoadModules modules;
     LoadReport report;
     report.outstanding = 8;
@@ -85,15 +85,15 @@
     EXPECT_DOUBLE_EQ(modules.load.outstanding(modules.host), (9 + 1) / 2.0);
     EXPECT_TRUE(modules.load.has_fresh_report(modules.host));
     modules.event.advance(125ms);
-    EXPECT_DOUBLE_EQ(modules.load.outstanding(modules.host), 1) << "the own attempt";
+    EXPECT_DOUBLE_EQ(modules.load.outstanding(modules.host), 1) << "only this gateway's attempt is left";
     EXPECT_FALSE(modules.load.has_fresh_report(modules.host));
 
     modules.load.record_ended(modules.host, 375ms);
     modules.load.record_ended(modules.host, 375ms);
-    EXPECT_EQ(modules.host.load.in_flight, 0) << "an end without an attempt lowers no count";
+    EXPECT_EQ(modules.host.load.in_flight, 0) << "the end of an unknown attempt does not lower the count";
 }
 
-TEST(LoadEstimator, AnAbsentReportSaysNothingWhereHealthChecksBringReports) {
+TEST(LoadEstimator, AMissingLoadReportIsIgnoredIfHostsReportOnHealthChecks) {
     Settings settings = fleet_settings(1);
     settings.reports = LoadReports::on_probe;
     LoadModules with_reports(settings);
@@ -103,10 +103,11 @@
     LoadModules without_reports;
     without_reports.load.record_report(without_reports.host, LoadReport{});
     EXPECT_TRUE(without_reports.load.has_fresh_report(without_reports.host));
-    EXPECT_TRUE(without_reports.host.load.idle) << "the first host to answer is taken";
+    EXPECT_TRUE(without_reports.host.load.idle)
+        << "the first host that answers its health check gets the request";
 }
 
-TEST(LoadEstimator, AHostIsKnownByTenAnswersWhereHealthChecksAreAllowed) {
+TEST(LoadEstimator, AHostIsKnownFromTenOutcomesIfHealthChecksAreAllowed) {
     LoadModules without_checks;
     EXPECT_TRUE(without_checks.load.is_known(without_checks.host));
 
--- a/tests/decision/unit/outlier_detector_test.cpp
+++ b/tests/decision/unit/outlier_detector_test.cpp
@@ -27,7 +27,7 @@
     Host host;
 };
 
-TEST_F(OutlierDetectorTest, ThreeFailuresInARowEjectAHostForHalfASecond) {
+TEST_F(OutlierDetectorTest, ThreeConsecutiveFailuresEjectAHostForHalfASecond) {
     end_attempt(Outcome::error);
     end_attempt(Outcome::reset);
     end_attempt(Outcome::success);
@@ -53,17 +53,17 @@
     }
 }
 
-TEST_F(OutlierDetectorTest, ATimeoutCountsOnlyOfAHostThatWasSilentAllAlong) {
+TEST_F(OutlierDetectorTest, ATimeoutCountsOnlyIfTheHostWasSilentThroughoutTheAttempt) {
     outliers.record_response(host);
     event.advance(100ms);
     end_attempt(Outcome::timeout, 100ms);
-    EXPECT_EQ(host.outlier.failures, 0) << "it answered just when the attempt was sent";
+    EXPECT_EQ(host.outlier.failures, 0) << "the host responded at the moment at which the attempt was sent";
 
     end_attempt(Outcome::timeout, 100ms - 1us);
     EXPECT_EQ(host.outlier.failures, 1);
 }
 
-TEST_F(OutlierDetectorTest, APenaltyRaisesTheCostForOneTrafficClassForAWhile) {
+TEST_F(OutlierDetectorTest, APenaltyRaisesTheCostForOneTrafficClassForTwentySeconds) {
     outliers.penalize(host, 2);
     EXPECT_DOUBLE_EQ(outliers.cost_factor(host, 2), 16);
     EXPECT_DOUBLE_EQ(outliers.cost_factor(host, 1), 1);
@@ -84,20 +84,23 @@
     EXPECT_EQ(host.outlier.ejected_until, event.context.now() + 500ms);
 }
 
-TEST_F(OutlierDetectorTest, SilenceEjectsAHostWhoseAnswersAreMissing) {
+TEST_F(OutlierDetectorTest, SilenceEjectsAHostWithMissingResponses) {
     host.load.response_s = 1;
     outliers.record_response(host);
     event.advance(1s);
-    EXPECT_FALSE(outliers.eject_if_silent(host, start_time, objective_s)) << "nothing in flight";
+    EXPECT_FALSE(outliers.eject_if_silent(host, start_time, objective_s)) << "no attempt is in flight";
     host.load.in_flight = 3;
-    EXPECT_FALSE(outliers.eject_if_silent(host, start_time, objective_s)) << "less than 3.5 answers missing";
+    EXPECT_FALSE(outliers.eject_if_silent(host, start_time, objective_s))
+        << "fewer than 3.5 responses are missing";
     host.load.in_flight = 4;
-    EXPECT_FALSE(outliers.eject_if_silent(host, event.context.now(), objective_s)) << "sent just now";
+    EXPECT_FALSE(outliers.eject_if_silent(host, event.context.now(), objective_s))
+        << "the attempt was sent just now";
     EXPECT_FALSE(outliers.is_ejected(host));
 
     EXPECT_TRUE(outliers.eject_if_silent(host, start_time, objective_s));
     EXPECT_TRUE(outliers.is_ejected(host));
-    EXPECT_EQ(outliers.silence_check_delay(objective_s), 250ms) << "the earliest, where no answer was seen";
+    EXPECT_EQ(outliers.silence_check_delay(objective_s), 250ms)
+        << "the shortest delay, because no response was seen";
 }
 
 }  // namespace
--- a/tests/decision/unit/request_queue_test.cpp
+++ b/tests/decision/unit/request_queue_test.cpp
@@ -22,24 +22,24 @@
     RequestQueue queue;
 };
 
-TEST_F(RequestQueueTest, OneRequestMayWaitWithoutAnyHost) {
+TEST_F(RequestQueueTest, OneRequestMayWaitIfNoHostIsListed) {
     EXPECT_EQ(queue.pop_overflow(0), std::nullopt);
     queue.push(1);
     EXPECT_EQ(queue.pop_overflow(0), std::nullopt);
 
     queue.push(2);
-    EXPECT_EQ(queue.pop_overflow(0), RequestId{1}) << "the one that has waited longest";
+    EXPECT_EQ(queue.pop_overflow(0), RequestId{1}) << "the request that has waited longest";
     EXPECT_EQ(queue.pop_overflow(0), std::nullopt);
 }
 
-TEST_F(RequestQueueTest, HalfARequestMoreMayWaitForEachHost) {
+TEST_F(RequestQueueTest, EachListedHostAllowsHalfARequestMoreToWait) {
     for (RequestId id = 1; id <= 3; ++id) queue.push(id);
 
     EXPECT_EQ(queue.pop_overflow(4), std::nullopt);
     EXPECT_EQ(queue.pop_overflow(3), RequestId{1});
 }
 
-TEST_F(RequestQueueTest, RequestsAreOfferedNewestFirstAndThoseThatLeaveAreDropped) {
+TEST_F(RequestQueueTest, RequestsAreOfferedNewestFirstAndRemovedIfTheyLeaveTheQueue) {
     for (RequestId id = 1; id <= 4; ++id) queue.push(id);
 
     queue.offer_newest_first([](RequestId id) { return id % 2 == 0; });
--- a/tests/decision/unit/retry_policy_test.cpp
+++ b/tests/decision/unit/retry_policy_test.cpp
@@ -21,24 +21,24 @@
     RetryPolicy retries{event.context};
 };
 
-TEST_F(RetryPolicyTest, FiveRetriesNeedNoRequestsToEarnThem) { EXPECT_EQ(take_all(), 5); }
+TEST_F(RetryPolicyTest, TheBudgetIsFiveRetriesWithoutAnyRequest) { EXPECT_EQ(take_all(), 5); }
 
-TEST_F(RetryPolicyTest, AHundredRequestsEarnFifteenRetriesMore) {
+TEST_F(RetryPolicyTest, AHundredRequestsAddFifteenRetriesToTheBudget) {
     for (int sent = 0; sent < 100; ++sent) retries.record_first_attempt();
 
     EXPECT_EQ(take_all(), 20);
 }
 
-TEST_F(RetryPolicyTest, ASpentBudgetRecoversAsRetriesAreForgotten) {
+TEST_F(RetryPolicyTest, ASpentBudgetRecoversAsPastRetriesDecay) {
     ASSERT_EQ(take_all(), 5);
 
     event.advance(10s);
 
-    // 5/e of the retries still count.
+    // 5/e, or 1.8, of the retries still count.
     EXPECT_EQ(take_all(), 3);
 }
 
-TEST_F(RetryPolicyTest, WhatRequestsOfLongAgoEarnedIsForgotten) {
+TEST_F(RetryPolicyTest, RequestsOfLongAgoAddNothingToTheBudget) {
     for (int sent = 0; sent < 100; ++sent) retries.record_first_attempt();
 
     event.advance(1h);
--- a/tests/decision/unit/snapshot_test.cpp
+++ b/tests/decision/unit/snapshot_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 using namespace std::chrono_literals;
 
-// One process of a gateway with a listed host, in its first event.
+// A gateway process that handles its first event and has one listed host.
 struct Process {
     explicit Process(Micros now = start_time) : modules(fleet_settings(1), random_seed, now) {
         modules.context.begin_event(now, actions);
@@ -31,7 +31,7 @@
     Modules modules;
 };
 
-TEST(Snapshot, TheNextProcessKnowsBansHostsAndCustomers) {
+TEST(Snapshot, TheNextProcessRestoresBansHostsAndCustomers) {
     Process former;
     former.modules.hosts.set_banned("other", true);
     former.host().outlier.failures = 2;
@@ -41,14 +41,14 @@
     Process next;
     restore_snapshot(next.modules, save_snapshot(former.modules));
 
-    EXPECT_FALSE(next.modules.hosts.set_banned("other", true)) << "banned already";
+    EXPECT_FALSE(next.modules.hosts.set_banned("other", true)) << "the host is already banned";
     EXPECT_EQ(next.host().outlier.failures, 2);
-    EXPECT_EQ(next.host().load.in_flight, 0) << "the attempts of this process";
+    EXPECT_EQ(next.host().load.in_flight, 0) << "only attempts of the next process count";
     ASSERT_NE(next.known_customer(), nullptr);
     EXPECT_DOUBLE_EQ(next.known_customer()->quota.tokens, 7);
 }
 
-TEST(Snapshot, TimesAreMovedToTheClockOfTheNextProcess) {
+TEST(Snapshot, TimesAreShiftedToTheClockOfTheNextProcess) {
     Process former;
     former.host().outlier.ejected_until = start_time + 3s;
 
@@ -75,7 +75,7 @@
     EXPECT_DOUBLE_EQ(next.customer().quota.ceiling_reserved, 0);
 }
 
-TEST(Snapshot, OneOfAnotherVersionIsIgnored) {
+TEST(Snapshot, ASnapshotOfAnotherVersionIsIgnored) {
     Process former;
     former.host().outlier.failures = 2;
     std::string bytes = save_snapshot(former.modules);
@@ -92,7 +92,7 @@
     EXPECT_NO_THROW(restore_snapshot(next.modules, bytes)) << bytes.size();
 }
 
-TEST(Snapshot, OfOneThatIsCutShortWhatWasReadIsInForce) {
+TEST(Snapshot, ATruncatedSnapshotIsRestoredUpToItsEnd) {
     Process former;
     former.modules.hosts.set_banned("host", true);
     former.customer();
@@ -102,7 +102,7 @@
     Process next;
     restore_snapshot(next.modules, bytes.substr(0, bytes.size() - 1));
     EXPECT_FALSE(next.host().usable());
-    EXPECT_NE(next.known_customer(), nullptr) << "the last value, of the customer, is missing";
+    EXPECT_NE(next.known_customer(), nullptr) << "only the last value of the customer is missing";
 }
 
 }  // namespace
--- a/tests/decision/unit/warm_up_limiter_test.cpp
+++ b/tests/decision/unit/warm_up_limiter_test.cpp
@@ -8,11 +8,13 @@
 namespace {
 using namespace std::chrono_literals;
 
-// 10 units a second when warm. The limiter then stores 20 permits, 10 of them above the threshold.
+// The limiter releases 10 units a second when warm. It stores at most 20 permits, 10 of them above the
+// threshold.
 constexpr double stable_interval_s = 0.1;
 constexpr double warm_up_s = 2;
 constexpr double all_permits = 20;
-// Of a permit from a full store: nearly the cold factor of 3.
+// Seconds that the first permit costs when all permits are stored: nearly 3 stable intervals, by the cold
+// factor of 3.
 constexpr double cold_interval_s = 0.29;
 constexpr double microsecond = 1e-6;
 
@@ -20,7 +22,7 @@
   protected:
     WarmUpLimiterTest() { limiter.refill(start_time, stable_interval_s, warm_up_s); }
 
-    // Reserves so many permits and returns by how much the next request is delayed, in seconds.
+    // Reserves permits and returns the resulting delay of the next request in seconds.
     double delay_of(double permits) {
         const Micros before = limiter.next_free();
         limiter.reserve(permits, stable_interval_s, warm_up_s);
@@ -30,18 +32,18 @@
     WarmUpLimiter limiter;
 };
 
-TEST_F(WarmUpLimiterTest, TheFirstRequestGoesAtOnceAndDelaysTheNextByAColdInterval) {
+TEST_F(WarmUpLimiterTest, TheFirstRequestIsReleasedAtOnceAndDelaysTheNextByTheColdInterval) {
     EXPECT_EQ(limiter.next_free(), start_time);
     EXPECT_NEAR(delay_of(1), cold_interval_s, microsecond);
 }
 
-TEST_F(WarmUpLimiterTest, AfterAllStoredPermitsAreSpentTheStableIntervalHolds) {
-    // 2 s to warm up, then 10 permits below the threshold.
+TEST_F(WarmUpLimiterTest, WithoutStoredPermitsTheNextRequestIsDelayedByTheStableInterval) {
+    // 2 s for the 10 permits above the threshold, then 1 s for the 10 permits below it.
     EXPECT_NEAR(delay_of(all_permits), warm_up_s + 1, microsecond);
     EXPECT_NEAR(delay_of(1), stable_interval_s, microsecond);
 }
 
-TEST_F(WarmUpLimiterTest, NoPermitIsStoredBeforeTheNextRequestMayGo) {
+TEST_F(WarmUpLimiterTest, NoPermitIsStoredBeforeTheNextRequestMayBeReleased) {
     delay_of(all_permits);
     const Micros next_free = limiter.next_free();
 
@@ -51,7 +53,7 @@
     EXPECT_NEAR(delay_of(1), stable_interval_s, microsecond);
 }
 
-TEST_F(WarmUpLimiterTest, IsColdAgainAfterAnIdleWarmUpTimeAndNoColderLater) {
+TEST_F(WarmUpLimiterTest, TheLimiterIsColdAgainAfterAnIdleWarmUpTimeAndNoColderLater) {
     delay_of(all_permits);
     limiter.refill(limiter.next_free() + 2s, stable_interval_s, warm_up_s);
     EXPECT_NEAR(delay_of(1), cold_interval_s, microsecond);
--- a/tests/decision/warm_up_limiter_test.cpp
+++ b/tests/decision/warm_up_limiter_test.cpp
@@ -1,25 +1,27 @@
-// The warm-up limiter, which holds requests back while hosts are overloaded.
+// The warm-up limiter, which delays requests while hosts are overloaded.
 #include "gateway_fixture.h"
 
 namespace gateway::decision::test {
 
-// rate 2, burst 4, one gateway: stable interval 0.5 s, warm-up 2 s, threshold 2, most 4 permits, slope 0.5 s
-// a permit. From full: the first permit costs (1.5 + 1.0) / 2 = 1.25 s.
-TEST(WarmUp, NextCallerPaysAndOverrunIsRejectedEarly) {
+// One gateway, rate 2, burst 4: the stable interval is 0.5 s, the warm-up time 2 s, the threshold 2 permits,
+// the maximum 4 permits, and the slope 0.5 s a permit. With all permits stored, the first one costs (1.5
+// + 1.0) / 2 = 1.25 s.
+TEST(WarmUp, ARequestDelaysTheNextOneWhichIsRejectedIfItWouldWaitTooLong) {
     ClockedGateway gateway(single_gateway_settings());
     overload_hosts(gateway);
-    EXPECT_EQ(actions_of<SendAttempt>(gateway.request(1)).size(), 1u);  // leaves at once
+    EXPECT_EQ(actions_of<SendAttempt>(gateway.request(1)).size(), 1u);  // sent at once
     const auto rejected = actions_of<RejectRequest>(gateway.request(2));
     ASSERT_EQ(rejected.size(), 1u);
     EXPECT_NEAR(rejected[0].retry_after.count(), 1'250'000, 2);
-    const auto again = actions_of<RejectRequest>(gateway.request(3));  // and charged nothing
-    ASSERT_EQ(again.size(), 1u);
-    EXPECT_NEAR(again[0].retry_after.count(), 1'250'000, 2);
+    const auto repeated =
+        actions_of<RejectRequest>(gateway.request(3));  // the rejected request took no permits
+    ASSERT_EQ(repeated.size(), 1u);
+    EXPECT_NEAR(repeated[0].retry_after.count(), 1'250'000, 2);
 }
 
-// Two units across the first part of the slope: 2 x 1.5 - 0.5 x 2 x 2 / 2 = 2 s; a third below the threshold
-// 0.5 s.
-TEST(WarmUp, SeveralUnitsAcrossTheThreshold) {
+// Two of the 3 units lie on the slope and cost 2 x 1.5 - 0.5 x 2 x 2 / 2 = 2 s. The third lies below the
+// threshold and costs 0.5 s.
+TEST(WarmUp, UnitsAboveAndBelowTheThresholdAddUpToTheDelay) {
     ClockedGateway gateway(single_gateway_settings());
     gateway.advance(2s);
     overload_hosts(gateway);
@@ -29,10 +31,11 @@
     EXPECT_NEAR(rejected[0].retry_after.count(), 2'500'000, 2);
 }
 
-TEST(WarmUp, HoldsAndReleasesByTimer) {
+TEST(WarmUp, ADelayedRequestIsReleasedByATimer) {
     Settings settings = single_gateway_settings();
     settings.plans[0].rate = 20;
-    settings.plans[0].burst = 40;  // stable 50 ms: the first permit of a full store costs 150 ms or less
+    settings.plans[0].burst =
+        40;  // stable interval 50 ms: the first of all stored permits costs 150 ms or less
     ClockedGateway gateway(settings);
     overload_hosts(gateway);
     EXPECT_EQ(actions_of<SendAttempt>(gateway.request(1)).size(), 1u);
