--- a/src/decision/health_checker.h
+++ b/src/decision/health_checker.h
@@ -9,7 +9,7 @@
 namespace gateway::decision {
 
 // A health check replaces the responses from which a gateway learns about a host, where it sees few of them.
-// Hosts carry the health checks of all gateways, so a budget limits them. It guards against many gateways
+// Hosts answer the health checks of all gateways, so a budget limits them. It guards against many gateways
 // that each see few responses and send health checks for every request.
 class HealthChecker {
   public:
--- a/src/decision/host.h
+++ b/src/decision/host.h
@@ -27,9 +27,10 @@
     int in_flight = 0;  // this gateway's attempts
     // Adaptive concurrency limit: the most attempts of all gateways together.
     double limit = initial_limit;
-    DecayingCounter recent_outcomes;  // outcomes of this gateway's attempts, see `response_memory_s`
-    double response_s = 0;            // mean response time in seconds; 0: no response seen
-    Micros reported_at{0};            // time of the latest load report; 0: none
+    // Number of this gateway's attempts that ended recently, see `response_memory_s`.
+    DecayingCounter recent_outcomes;
+    double response_s = 0;  // mean response time in seconds; 0: no response seen
+    Micros reported_at{0};  // time of the latest load report; 0: none
     // Requests at the host by its load report, with those sent there since; below 0: not reported.
     double reported_outstanding = -1;
     bool idle = false;                 // the latest load report shows no queue, or no queue length
--- a/src/decision/load_estimator.cpp
+++ b/src/decision/load_estimator.cpp
@@ -21,8 +21,8 @@
 // Weight of one response in the mean response times, and of one request in the mean units.
 constexpr double response_weight = 0.05;
 // A host's mean response time starts as a weighted sum of the mean over all hosts and of its first response.
-constexpr double first_response_fleet_weight = 0.8;
-constexpr double first_response_own_weight = 0.2;
+constexpr double first_response_mean_weight = 0.8;
+constexpr double first_response_host_weight = 0.2;
 // Limit on the adaptive concurrency limits, in attempts of all gateways at one host.
 constexpr double max_limit = 128;
 // Number of recent outcomes at which a host's own figures weigh as much as those of all hosts; with more,
@@ -37,7 +37,7 @@
 constexpr double limit_use_margin = 2;
 // Weight, in attempts, of the mean over all hosts in the estimate of a host's load. With more attempts of
 // this gateway in flight at the host, their number outweighs the mean.
-constexpr double fleet_mean_attempts = 2;
+constexpr double mean_weight_attempts = 2;
 // Number of recent outcomes from which a host gets requests without a health check.
 constexpr double known_outcomes = 10;
 // Standard deviations by which the window exceeds a gateway's even share. The excesses of all gateways even
@@ -64,7 +64,8 @@
 bool LoadEstimator::window_open() { return in_flight_ + context_.uniform() < window(); }
 
 double LoadEstimator::window() const {
-    const double even_share = limit_ * static_cast<double>(hosts_.size()) / context_.settings().instances;
+    const double even_share =
+        common_limit_ * static_cast<double>(hosts_.size()) / context_.settings().instances;
     return even_share + window_deviations * std::sqrt(even_share);
 }
 
@@ -80,13 +81,13 @@
 // mean number of this gateway's attempts at one host, shifted towards the number in flight at this host. The
 // same rule holds for two gateways and for hundreds.
 double LoadEstimator::estimated_outstanding(const Host& host) const {
-    const double own = host.load.in_flight;
-    const double hosts = static_cast<double>(std::max<std::size_t>(1, hosts_.size()));
+    const double own_attempts = host.load.in_flight;
+    const double host_count = static_cast<double>(std::max<std::size_t>(1, hosts_.size()));
     const double mean_outstanding =
-        attempt_seconds_.value(context_.now(), sent_memory_s) / (sent_memory_s * hosts);  // Little's law
-    const double others = context_.settings().instances - 1;
-    return own +
-           others * mean_outstanding * (own + fleet_mean_attempts) / (mean_outstanding + fleet_mean_attempts);
+        attempt_seconds_.value(context_.now(), sent_memory_s) / (sent_memory_s * host_count);  // Little's law
+    const double other_gateways = context_.settings().instances - 1;
+    return own_attempts + other_gateways * mean_outstanding * (own_attempts + mean_weight_attempts) /
+                              (mean_outstanding + mean_weight_attempts);
 }
 
 double LoadEstimator::outstanding(const Host& host) const {
@@ -97,14 +98,15 @@
 
 double LoadEstimator::limit(const Host& host) const {
     const double outcomes = recent_outcomes(host);
-    const double trust = outcomes / (outcomes + trusted_outcomes);
-    return trust * host.load.limit + (1 - trust) * limit_;
+    const double own_weight = outcomes / (outcomes + trusted_outcomes);
+    return own_weight * host.load.limit + (1 - own_weight) * common_limit_;
 }
 
 double LoadEstimator::blended_response_s(const Host& host) const {
     const double outcomes = recent_outcomes(host);
-    const double fleet = std::max(response_s_, min_response_s);
-    return (outcomes * host.load.response_s + trusted_outcomes * fleet) / (outcomes + trusted_outcomes);
+    const double common_response_s = std::max(response_s_, min_response_s);
+    return (outcomes * host.load.response_s + trusted_outcomes * common_response_s) /
+           (outcomes + trusted_outcomes);
 }
 
 double LoadEstimator::typical_response_s(const Host& host) const {
@@ -131,11 +133,11 @@
 }
 
 void LoadEstimator::record_response(Host& host, double elapsed_s) {
-    double& own = host.load.response_s;
-    if (own > 0) own += response_weight * (elapsed_s - own);
+    double& mean_s = host.load.response_s;
+    if (mean_s > 0) mean_s += response_weight * (elapsed_s - mean_s);
     else if (response_s_ > 0)
-        own = first_response_fleet_weight * response_s_ + first_response_own_weight * elapsed_s;
-    else own = elapsed_s;
+        mean_s = first_response_mean_weight * response_s_ + first_response_host_weight * elapsed_s;
+    else mean_s = elapsed_s;
     if (response_s_ > 0) response_s_ += response_weight * (elapsed_s - response_s_);
     else response_s_ = elapsed_s;
 }
@@ -157,7 +159,7 @@
             limit = std::min(max_limit, limit + std::min(limit_growth / limit, limit / 4));
     };
     adapt(host.load.limit, min_host_limit, estimated_outstanding(host) + limit_use_margin > limit(host));
-    adapt(limit_, min_fleet_limit, 2 * (in_flight_ + 1) > window());
+    adapt(common_limit_, min_common_limit, 2 * (in_flight_ + 1) > window());
 
     if (!success && !overload) return;
     const bool slow = rejected || elapsed_s > overload_response_share * objective_s;
--- a/src/decision/load_estimator.h
+++ b/src/decision/load_estimator.h
@@ -68,10 +68,10 @@
     void serialize_responses(auto& codec) {
         codec(response_s_, slow_response_ratio_, overloaded_, mean_units_);
     }
-    void serialize_limit(auto& codec) { codec(limit_, attempt_seconds_); }
+    void serialize_limit(auto& codec) { codec(common_limit_, attempt_seconds_); }
 
   private:
-    static constexpr double min_fleet_limit = 0.2;
+    static constexpr double min_common_limit = 0.2;
     static constexpr double min_host_limit = 2;
 
     // Number of requests of all gateways at the host, estimated from this gateway's attempts.
@@ -86,10 +86,10 @@
     double response_s_ = 0;  // mean response time over all hosts, in seconds
     double slow_response_ratio_ = 0;
     bool overloaded_ = false;
-    double mean_units_ = 1;            // mean units of a request
-    double limit_ = min_host_limit;    // adaptive concurrency limit of one host, learned from all hosts
-    DecayingCounter attempt_seconds_;  // seconds for which ended attempts were in flight
-    int in_flight_ = 0;                // this gateway's attempts at all hosts
+    double mean_units_ = 1;                 // mean units of a request
+    double common_limit_ = min_host_limit;  // adaptive concurrency limit of one host, learned from all hosts
+    DecayingCounter attempt_seconds_;       // seconds for which ended attempts were in flight
+    int in_flight_ = 0;                     // this gateway's attempts at all hosts
 };
 
 }  // namespace gateway::decision
--- a/tests/decision/handover_test.cpp
+++ b/tests/decision/handover_test.cpp
@@ -36,7 +36,7 @@
 
 TEST(Handover, TheNextProcessRestoresQuotasAndBans) {
     ClockedGateway former(single_gateway_settings()), next(single_gateway_settings());
-    // The burst is 4 units. At the start the home's ledger holds half of it.
+    // The burst is 4 units. At the start the lease holder's ledger holds half of it.
     int sent = 0;
     RequestId id = 1;
     for (; id <= 10; ++id) {
--- a/tests/decision/host_list_test.cpp
+++ b/tests/decision/host_list_test.cpp
@@ -64,7 +64,7 @@
             handle(event);
         }
         send_request();
-        if (random_() % 8 == 0) change();
+        if (random_() % 8 == 0) change_random_host();
         if (random_() % 200 == 0) handle(HostsChanged{true, listed_});
         if (random_() % 100 == 0) handle(HostBanned{listed_[random_() % hosts].host, random_() % 2 == 0});
     }
@@ -92,7 +92,7 @@
         arrival.units = 1 + static_cast<double>(random_() % 3);
         handle(arrival);
     }
-    void change() {
+    void change_random_host() {
         const auto host = random_() % hosts;
         HostEntry changed = listed_[host];
         switch (random_() % 4) {
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// A gateway with the hosts a and b. `sent` sends requests, 10 ms apart, and counts the attempts at host a.
+// A gateway with the hosts a and b. `attempts_at_a` sends requests, 10 ms apart, and counts
+// the attempts at host a.
 struct TwoHostGateway {
     ClockedGateway gateway;
     RequestId id = 1;
@@ -18,16 +19,16 @@
         gateway.now += 3h;
         gateway.handle(HostsChanged{true, {host("a"), host("b")}});
     }
-    int sent(int requests) {
-        int attempts_at_a = 0;
+    int attempts_at_a(int requests) {
+        int attempts = 0;
         for (const RequestId last = id + static_cast<RequestId>(requests); id < last; ++id) {
             gateway.advance(10ms);
             for (const SendAttempt& attempt : actions_of<SendAttempt>(gateway.request(id))) {
-                attempts_at_a += attempt.host == "a";
+                attempts += attempt.host == "a";
                 gateway.end_attempt(id, attempt.host, Outcome::success, 5ms);
             }
         }
-        return attempts_at_a;
+        return attempts;
     }
     void restart_a(Micros reported_start) {
         HostEntry restarted = host("a");
@@ -99,13 +100,13 @@
 // and is cold from then on, even if the reported time is long ago.
 TEST(SlowStart, ARestartWithAReportedStartLongAgoCausesASlowStart) {
     TwoHostGateway fixture(single_gateway_settings());
-    const int warm = fixture.sent(400);
+    const int warm = fixture.attempts_at_a(400);
     fixture.restart_a(fixture.gateway.now - 1h);
-    const int cold = fixture.sent(400);
+    const int cold = fixture.attempts_at_a(400);
     EXPECT_GT(cold, 0);
     EXPECT_LT(cold, warm * 3 / 4);
     fixture.gateway.advance(11s);
-    EXPECT_GT(fixture.sent(400), warm * 3 / 4);
+    EXPECT_GT(fixture.attempts_at_a(400), warm * 3 / 4);
 }
 
 // The first endpoint list is the one that was cached when the process started, and may be of any age. A
@@ -135,12 +136,12 @@
 
 TEST(SlowStart, ARestartWithAReportedStartInTheFutureExtendsNoSlowStart) {
     TwoHostGateway fixture(single_gateway_settings());
-    const int warm = fixture.sent(400);
+    const int warm = fixture.attempts_at_a(400);
     fixture.restart_a(fixture.gateway.now + 1h);
-    EXPECT_LT(fixture.sent(400), warm * 3 / 4);
+    EXPECT_LT(fixture.attempts_at_a(400), warm * 3 / 4);
     fixture.restart_a(fixture.gateway.now + 1h - 4s);  // the same reported start again
     fixture.gateway.advance(11s);
-    EXPECT_GT(fixture.sent(400), warm * 3 / 4);
+    EXPECT_GT(fixture.attempts_at_a(400), warm * 3 / 4);
 }
 
 TEST(Ban, ABanOutlastsEndpointListsAndTheHostIsColdAfterTheUnban) {
--- a/tests/decision/unit/retry_policy_test.cpp
+++ b/tests/decision/unit/retry_policy_test.cpp
@@ -11,7 +11,7 @@
 class RetryPolicyTest : public testing::Test {
   protected:
     // Takes retries until the budget is spent and returns how many there were.
-    int take_all() {
+    int take_all_retries() {
         int taken = 0;
         while (retries.take()) ++taken;
         return taken;
@@ -21,21 +21,21 @@
     RetryPolicy retries{event.context};
 };
 
-TEST_F(RetryPolicyTest, TheBudgetIsFiveRetriesWithoutAnyRequest) { EXPECT_EQ(take_all(), 5); }
+TEST_F(RetryPolicyTest, TheBudgetIsFiveRetriesWithoutAnyRequest) { EXPECT_EQ(take_all_retries(), 5); }
 
 TEST_F(RetryPolicyTest, AHundredRequestsAddFifteenRetriesToTheBudget) {
     for (int sent = 0; sent < 100; ++sent) retries.record_first_attempt();
 
-    EXPECT_EQ(take_all(), 20);
+    EXPECT_EQ(take_all_retries(), 20);
 }
 
 TEST_F(RetryPolicyTest, ASpentBudgetRecoversAsPastRetriesDecay) {
-    ASSERT_EQ(take_all(), 5);
+    ASSERT_EQ(take_all_retries(), 5);
 
     event.advance(10s);
 
     // 5/e, or 1.8, of the retries still count.
-    EXPECT_EQ(take_all(), 3);
+    EXPECT_EQ(take_all_retries(), 3);
 }
 
 TEST_F(RetryPolicyTest, RequestsOfLongAgoAddNothingToTheBudget) {
@@ -43,7 +43,7 @@
 
     event.advance(1h);
 
-    EXPECT_EQ(take_all(), 5);
+    EXPECT_EQ(take_all_retries(), 5);
 }
 
 }  // namespace
--- a/tests/decision/unit/warm_up_limiter_test.cpp
+++ b/tests/decision/unit/warm_up_limiter_test.cpp
@@ -12,7 +12,7 @@
 // threshold.
 constexpr double stable_interval_s = 0.1;
 constexpr double warm_up_s = 2;
-constexpr double all_permits = 20;
+constexpr double max_stored_permits = 20;
 // Seconds that the first permit costs when all permits are stored: nearly 3 stable intervals, by the cold
 // factor of 3.
 constexpr double cold_interval_s = 0.29;
@@ -39,12 +39,12 @@
 
 TEST_F(WarmUpLimiterTest, WithoutStoredPermitsTheNextRequestIsDelayedByTheStableInterval) {
     // 2 s for the 10 permits above the threshold, then 1 s for the 10 permits below it.
-    EXPECT_NEAR(delay_of(all_permits), warm_up_s + 1, microsecond);
+    EXPECT_NEAR(delay_of(max_stored_permits), warm_up_s + 1, microsecond);
     EXPECT_NEAR(delay_of(1), stable_interval_s, microsecond);
 }
 
 TEST_F(WarmUpLimiterTest, NoPermitIsStoredBeforeTheNextRequestMayBeReleased) {
-    delay_of(all_permits);
+    delay_of(max_stored_permits);
     const Micros next_free = limiter.next_free();
 
     limiter.refill(next_free - 1us, stable_interval_s, warm_up_s);
@@ -54,7 +54,7 @@
 }
 
 TEST_F(WarmUpLimiterTest, TheLimiterIsColdAgainAfterAnIdleWarmUpTimeAndNoColderLater) {
-    delay_of(all_permits);
+    delay_of(max_stored_permits);
     limiter.refill(limiter.next_free() + 2s, stable_interval_s, warm_up_s);
     EXPECT_NEAR(delay_of(1), cold_interval_s, microsecond);
 
