--- a/src/json/fields.h
+++ b/src/json/fields.h
@@ -1,4 +1,4 @@
-// Typed reading of JSON values. Every error names the value and what was expected of it.
+// Reads JSON values as typed C++ values. Every error names the value and what was expected.
 #pragma once
 
 #include <simdjson.h>
@@ -18,8 +18,8 @@
 using simdjson::dom::element;
 using simdjson::dom::object;
 
-// A value that is missing, of another type than expected or out of its range. It knows the value's name only;
-// callers add the place (a line number, a file name).
+// Reports a value that is missing, of an unexpected type or out of range. The message contains the name of
+// the value, but not its location: callers add a line number or a file name.
 class BadValue : public std::runtime_error {
   public:
     BadValue(std::string_view name, std::string_view expected)
@@ -27,8 +27,9 @@
           name_(name),
           expected_(expected) {}
 
-    // The JSON key or the name of the value in its message.
+    // The JSON key of the value, or its name in the message that contains it.
     [[nodiscard]] const std::string& name() const noexcept { return name_; }
+    // A description of the values that are accepted.
     [[nodiscard]] const std::string& expected() const noexcept { return expected_; }
 
   private:
@@ -36,12 +37,13 @@
     std::string expected_;
 };
 
-// Throws BadValue.
+// Throws BadValue for the value with this name.
 [[noreturn]] inline void throw_bad_value(std::string_view name, std::string_view expected) {
     throw BadValue(name, expected);
 }
 
-// ---- conversion of one value; each function throws BadValue where the type does not fit ------------------
+// Each of the following functions converts one value. It throws BadValue, which contains `name`, if the type
+// does not fit.
 
 [[nodiscard]] inline double as_number(element value, std::string_view name) {
     double number = 0;
@@ -49,9 +51,9 @@
     return number;
 }
 
-// Also takes a number written with a fraction or an exponent (`1e6`) as long as its value is integral.
+// Also accepts a number written with a fraction or an exponent, such as `1e6`, if its value is an integer.
 [[nodiscard]] inline std::int64_t as_integer(element value, std::string_view name) {
-    // Leaves room below the largest int64_t, which a double does not represent exactly.
+    // Less than the largest int64_t, which a double does not represent exactly.
     constexpr double max_magnitude = 4e18;
     std::int64_t integer = 0;
     if (value.get(integer) == simdjson::SUCCESS) return integer;
@@ -66,7 +68,7 @@
     return integer;
 }
 
-// The view is valid until the parser that made the element parses again.
+// The returned view is valid until the parser that produced the element parses another document.
 [[nodiscard]] inline std::string_view as_text(element value, std::string_view name) {
     std::string_view text;
     if (value.get(text) != simdjson::SUCCESS) throw_bad_value(name, "text");
@@ -91,9 +93,7 @@
     return members;
 }
 
-// ---- members of an object --------------------------------------------------------------------------------
-
-// Throws BadValue where the key is missing. The value may be null.
+// Returns the value of a key, which may be null. Throws BadValue if the key is missing.
 [[nodiscard]] inline element required(object members, std::string_view key) {
     element value;
     if (members[key].get(value) != simdjson::SUCCESS)
@@ -101,15 +101,15 @@
     return value;
 }
 
-// Nothing where the key is missing or its value is null.
+// Returns no value if the key is missing or its value is null.
 [[nodiscard]] inline std::optional<element> optional_key(object members, std::string_view key) {
     element value;
     if (members[key].get(value) != simdjson::SUCCESS || value.is_null()) return std::nullopt;
     return value;
 }
 
-// Read an optional key into `target`, which keeps its value where the key is missing or null. They throw
-// BadValue where the type does not fit.
+// Reads the value of an optional key into `target`, which keeps its value if the key is missing or null.
+// Throws BadValue if the type does not fit.
 inline void read(object members, std::string_view key, double& target) {
     if (const auto value = optional_key(members, key)) target = as_number(*value, key);
 }
--- a/src/json/settings.cpp
+++ b/src/json/settings.cpp
@@ -12,14 +12,14 @@
     throw_bad_value("effect", "retryable, dedup or fragile");
 }
 
-// Unknown names give the narrowest scope.
+// An unknown name selects the narrowest scope.
 DeduplicationScope read_deduplication_scope(std::string_view name) {
     if (name == "all") return DeduplicationScope::all;
     if (name == "zone") return DeduplicationScope::zone;
     return DeduplicationScope::cell;
 }
 
-// Unknown names mean that hosts do not report.
+// An unknown name means that hosts do not report their load.
 LoadReports read_load_reports(std::string_view name) {
     if (name == "inline") return LoadReports::in_answers;
     if (name == "on_probe") return LoadReports::on_probe;
--- a/src/json/settings.h
+++ b/src/json/settings.h
@@ -1,12 +1,13 @@
-// Reads the settings object, which the simulator's Attach message and a gateway's configuration file share,
-// into the decision module's Settings.
+// Reads the settings of the decision module from JSON. The simulator's Attach message and the configuration
+// file of a gateway contain the same settings object.
 #pragma once
 
 #include "fields.h"
 
 namespace gateway::json {
 
-// Throws BadValue. Unknown keys are ignored; absent optional ones keep the default of decision::Settings.
+// Reads the settings object. Unknown keys are ignored; missing optional keys keep the default of
+// decision::Settings. Throws BadValue if a value is missing or malformed.
 [[nodiscard]] decision::Settings read_settings(object members);
 
 }  // namespace gateway::json
--- a/src/simulator_adapter/action_writer.cpp
+++ b/src/simulator_adapter/action_writer.cpp
@@ -29,7 +29,7 @@
     out.push_back('"');
 }
 
-// Appends one line: begin, the values in order, end.
+// Appends one line, a JSON array. Call `begin`, then `add` functions for the values in order, then `end`.
 class LineWriter {
   public:
     LineWriter(std::string& out, std::int64_t gateway_id) : out_(out), gateway_id_(gateway_id) {}
@@ -47,7 +47,7 @@
         append_text(out_, text);
     }
     void add(Micros time) { add(static_cast<std::uint64_t>(time.count())); }
-    // The simulator keeps the labels of timers as text.
+    // The simulator expects the label of a timer as text.
     void add_token(std::uint64_t token) {
         out_.append(",\"");
         append_number(out_, token);
@@ -65,7 +65,7 @@
     std::int64_t gateway_id_;
 };
 
-// The name and the values of the line for each kind of action.
+// Writes the name and the values of the line for each kind of action.
 struct ActionVisitor {
     LineWriter& line;
 
@@ -98,7 +98,8 @@
         line.add(action.from_now);
         line.add_token(action.token);
     }
-    // The simulator knows no upgrades: it sends no event that the module answers with this.
+    // Snapshots are part of an upgrade, which the simulator does not support: no event that it sends leads to
+    // this action.
     void operator()(const SaveSnapshot&) const {}
     void operator()(const SendMessage& action) const {
         line.begin("WritePeer");
--- a/src/simulator_adapter/action_writer.h
+++ b/src/simulator_adapter/action_writer.h
@@ -1,4 +1,4 @@
-// Writes actions of the decision module as JSON lines of the simulator's wire.
+// Writes actions of the decision module as JSON lines for the simulator.
 #pragma once
 
 #include <cstdint>
@@ -8,12 +8,13 @@
 
 namespace gateway::simulator {
 
-// Collects the reply to one batch.
+// Collects the lines of the reply to one batch of messages.
 class ActionWriter {
   public:
-    // Appends one line. SaveSnapshot has none: the simulator sends no event that leads to it.
+    // Appends the line for one action of a gateway. SaveSnapshot is not expected: no event of the simulator
+    // leads to it.
     void write(std::int64_t gateway_id, const decision::Action& action);
-    // Appends the collected lines and the line that ends a reply to `out`, and begins a new reply.
+    // Appends the collected lines and the End line to `out`, and starts the next reply.
     void end_reply(std::string& out);
 
   private:
--- a/src/simulator_adapter/base64.cpp
+++ b/src/simulator_adapter/base64.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t group_characters = 4;
 constexpr std::size_t max_padding = 2;
 
-// The six bits of each character; -1 for characters outside the alphabet.
+// The six-bit value of each character, or -1 for a character outside the alphabet.
 constexpr std::array<std::int8_t, 256> character_values = [] {
     std::array<std::int8_t, 256> values{};
     values.fill(-1);
@@ -22,6 +22,7 @@
     return values;
 }();
 
+// The number of padding characters at the end of the text, up to `max_padding`.
 std::size_t count_padding(std::string_view text) {
     std::size_t count = 0;
     while (count < max_padding && count < text.size() && text[text.size() - 1 - count] == padding) ++count;
--- a/src/simulator_adapter/base64.h
+++ b/src/simulator_adapter/base64.h
@@ -1,4 +1,4 @@
-// Base64 (RFC 4648) with padding, as messages between gateways travel in the simulator's JSON lines.
+// Base64 (RFC 4648) with padding, which encodes peer messages in the simulator's JSON lines.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 // Appends the encoding of `bytes`, padded with '=' to a multiple of four characters.
 void append_base64(std::string& out, std::string_view bytes);
 
-// Nothing where the text is not padded base64.
+// Returns the decoded bytes, or nothing if the text is not valid padded base64.
 [[nodiscard]] std::optional<std::string> decode_base64(std::string_view text);
 
 }  // namespace gateway::simulator
--- a/src/simulator_adapter/event_reader.cpp
+++ b/src/simulator_adapter/event_reader.cpp
@@ -12,6 +12,7 @@
 using namespace decision;
 using namespace json;
 
+// The plan index of a request without a known plan.
 constexpr int unknown_plan = -1;
 
 Outcome read_outcome(std::string_view status) {
@@ -40,7 +41,7 @@
     return report;
 }
 
-// Nothing where the text is not one decimal number.
+// Returns no value if the text is not a decimal number.
 std::optional<std::uint64_t> parse_token(std::string_view text) {
     std::uint64_t token = 0;
     const char* const end = text.data() + text.size();
--- a/src/simulator_adapter/event_reader.h
+++ b/src/simulator_adapter/event_reader.h
@@ -1,7 +1,8 @@
-// Reads the simulator's messages as events of the decision module, one function for each kind of message.
+// Converts the simulator's messages to events of the decision module, with one function for each kind of
+// message.
 //
-// The functions throw json::BadValue where a value is missing or does not fit. Position 0 of each message is
-// the gateway's number, which the caller has read.
+// The functions throw json::BadValue if a value is missing or malformed. They skip position 0 of each
+// message, the number of the gateway, which the caller reads.
 #pragma once
 
 #include <optional>
@@ -14,13 +15,13 @@
 
 namespace gateway::simulator {
 
-// Where the names that messages use stand in a gateway's settings.
+// Maps the names of request classes and plans to their positions in a gateway's settings.
 class SettingsIndex {
   public:
     explicit SettingsIndex(const decision::Settings& settings);
-    // Index into Settings::classes; nothing for an unknown name.
+    // Returns the index into Settings::classes, or no value for an unknown name.
     [[nodiscard]] std::optional<int> request_class(std::string_view name) const;
-    // Index into Settings::plans; nothing for an unknown name.
+    // Returns the index into Settings::plans, or no value for an unknown name.
     [[nodiscard]] std::optional<int> plan(std::string_view name) const;
 
   private:
@@ -30,20 +31,21 @@
     IndexByName plans_;
 };
 
-// Sync. Nothing where discovery was unavailable.
+// Reads a Sync message. Returns no event if it reports that discovery was unavailable.
 [[nodiscard]] std::optional<decision::HostsChanged> read_hosts_changed(const Fields& fields,
                                                                        const HostLists& lists);
-// NewRequest. An unknown plan is left out; an unknown request class is an error.
+// Reads a NewRequest message. A request with an unknown plan has no plan; an unknown request class is an
+// error.
 [[nodiscard]] decision::RequestArrived read_request_arrived(const Fields& fields, const SettingsIndex& index);
-// Returned.
+// Reads a Returned message.
 [[nodiscard]] decision::AttemptEnded read_attempt_ended(const Fields& fields);
-// Gone.
+// Reads a Gone message.
 [[nodiscard]] decision::ClientDisconnected read_client_disconnected(const Fields& fields);
-// PeerData.
+// Reads a PeerData message.
 [[nodiscard]] decision::MessageArrived read_message_arrived(const Fields& fields);
-// PingResult.
+// Reads a PingResult message.
 [[nodiscard]] decision::HealthCheckEnded read_health_check_ended(const Fields& fields);
-// Timer. Nothing for a label that is not a token of the decision module.
+// Reads a Timer message. Returns no event if its label is not a timer token.
 [[nodiscard]] std::optional<decision::TimerFired> read_timer_fired(const Fields& fields);
 
 }  // namespace gateway::simulator
--- a/src/simulator_adapter/host_lists.cpp
+++ b/src/simulator_adapter/host_lists.cpp
@@ -13,6 +13,7 @@
     throw_bad_value("health", "U, L or D");
 }
 
+// Reads a host from its values by position: name, zone, kind, cell, state, weight and start time.
 HostEntry read_host_entry(const Fields& row) {
     HostEntry entry;
     entry.host = as_text(row.required(0, "host"), "host");
--- a/src/simulator_adapter/host_lists.h
+++ b/src/simulator_adapter/host_lists.h
@@ -1,4 +1,5 @@
-// The host lists that Directory messages declare by slot number and Sync messages refer to.
+// The host lists of the simulator. A Directory message declares a list in a numbered slot, and Sync messages
+// refer to the slot.
 #pragma once
 
 #include <array>
@@ -13,15 +14,17 @@
 
 using HostEntries = std::vector<decision::HostEntry>;
 
+// Stores the declared host lists by slot.
 class HostLists {
   public:
-    // Takes a Directory message, which replaces the list of its slot. Throws json::BadValue.
+    // Reads a Directory message and replaces the list of its slot. Throws json::BadValue if the message is
+    // malformed.
     void declare(const Fields& fields);
-    // The list of a slot. Throws json::BadValue where none was declared there.
+    // Returns the list of a slot. Throws json::BadValue if no list was declared for the slot.
     [[nodiscard]] const HostEntries& at(std::int64_t slot) const;
 
   private:
-    static constexpr std::size_t slot_count = 16;  // of the protocol
+    static constexpr std::size_t slot_count = 16;  // defined by the protocol
 
     [[nodiscard]] static bool is_slot(std::int64_t slot) noexcept;
 
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,6 @@
-// simulator_adapter: runs the decision module under the simulator. Reads JSON lines from standard input and
-// answers each batch on standard output. Exit status: 0 at the end of the input, 2 after malformed input.
+// simulator_adapter: runs the decision module in the simulator. Reads JSON lines from standard input and
+// writes the reply to each batch to standard output. Exits with status 0 at the end of the input, and with
+// status 2 after malformed input or another error.
 #include <cstdio>
 #include <exception>
 #include <iostream>
@@ -21,7 +22,7 @@
     std::string line;
     std::string reply;
     while (std::getline(std::cin, line)) {
-        if (!wire.take_line(line, reply)) continue;
+        if (!wire.process_line(line, reply)) continue;
         write_reply(reply);
         reply.clear();
     }
--- a/src/simulator_adapter/message.h
+++ b/src/simulator_adapter/message.h
@@ -1,4 +1,4 @@
-// One line of the simulator's wire: a JSON array of a message name and values by position.
+// Parses a line from the simulator: a JSON array of a message name and values by position.
 #pragma once
 
 #include <array>
@@ -11,15 +11,17 @@
 
 namespace gateway::simulator {
 
-// The values of a message, or of a row within one, by position. Positions count from 0, behind the name.
+// The values of a message, or of a record in a message, by position. Position 0 is the first value after the
+// message name.
 class Fields {
   public:
-    // Values beyond `max_count` are dropped: no message that this version knows has so many.
+    // Appends a value. Values beyond `max_count` are dropped, because no message of the protocol has that
+    // many.
     void append(json::element value) noexcept;
-    // The value at a position, which may be null. Throws json::BadValue where the line is too short; `name`
-    // names the value in the error.
+    // Returns the value at a position, which may be null. Throws json::BadValue, which contains `name`, if
+    // there is no such position.
     [[nodiscard]] json::element required(std::size_t position, std::string_view name) const;
-    // Nothing where the line is too short or the value is null.
+    // Returns no value if there is no such position or the value is null.
     [[nodiscard]] std::optional<json::element> optional(std::size_t position) const;
 
   private:
@@ -29,19 +31,22 @@
     std::size_t count_ = 0;
 };
 
-// Views into the parser's document: valid until the parser takes the next line.
+// A parsed message. Its values refer to the parser's document and are valid until the parser parses the next
+// line.
 struct Message {
     std::string_view name;
     Fields fields;
 };
 
-// Whether a line holds nothing but blanks; such lines are no messages.
+// Whether a line contains only whitespace. Such lines are skipped.
 [[nodiscard]] bool is_blank(std::string_view line);
 
+// Parses lines as messages.
 class MessageParser {
   public:
-    // Throws json::BadValue where the line is not one JSON array that begins with a name. Enlarges the line's
-    // capacity by the padding that simdjson reads beyond the text.
+    // Throws json::BadValue if the line is not a JSON array that begins with a message name. Reserves
+    // capacity in `line` for the padding that simdjson reads beyond the text, so that the line need not be
+    // copied.
     [[nodiscard]] Message parse(std::string& line);
 
   private:
--- a/src/simulator_adapter/simulator_wire.cpp
+++ b/src/simulator_adapter/simulator_wire.cpp
@@ -19,13 +19,13 @@
 using namespace decision;
 using namespace json;
 
-// One simulated gateway.
+// An instance of the decision module, which serves one simulated gateway.
 struct Instance {
     Gateway gateway;
     SettingsIndex index;
 };
 
-// The messages to one gateway that become events or end it.
+// The kinds of messages to one gateway, each of which is an event or destroys the gateway's instance.
 enum class MessageKind {
     sync,
     new_request,
@@ -37,7 +37,7 @@
     timer,
 };
 
-// Nothing for messages that this version does not know.
+// Returns no value for the name of an unknown message.
 std::optional<MessageKind> message_kind(std::string_view name) {
     static const std::unordered_map<std::string_view, MessageKind> kinds{
         {"Sync", MessageKind::sync},
@@ -54,7 +54,8 @@
     return found->second;
 }
 
-// Nothing where the message asks for no decision. Destroy is no event.
+// Returns no value if the message is not an event, such as Destroy, or if its event is ignored. Sync is read
+// elsewhere, because it also needs the host lists.
 std::optional<Event> read_event(MessageKind kind, const Fields& fields, const SettingsIndex& index) {
     switch (kind) {
         case MessageKind::new_request:
@@ -83,14 +84,14 @@
 
 class SimulatorWire::State {
   public:
-    bool take_line(std::string& line, std::string& reply);
+    bool process_line(std::string& line, std::string& reply);
     [[nodiscard]] std::uint64_t line_count() const noexcept { return line_count_; }
 
   private:
     void begin_batch(const Fields& fields);
     void end_batch(std::string& reply);
     void handle_message(const Message& message);
-    // Attach: builds an instance, in place of an earlier one of the same number.
+    // Handles an Attach message: creates an instance, which replaces an earlier one with the same number.
     void attach(const Fields& fields);
     void handle_instance_message(MessageKind kind, const Fields& fields);
     void deliver(std::int64_t gateway_id, Instance& instance, const Event& event);
@@ -101,16 +102,16 @@
     bool in_batch_ = false;
     HostLists host_lists_;
     std::map<std::int64_t, Instance> instances_;  // by gatewayId
-    std::vector<Action> actions_;                 // of one event; kept for its capacity
+    std::vector<Action> actions_;                 // of one event; a member to reuse its capacity
     ActionWriter writer_;
 };
 
 SimulatorWire::SimulatorWire() : state_(std::make_unique<State>()) {}
 SimulatorWire::~SimulatorWire() = default;
 
-bool SimulatorWire::take_line(std::string& line, std::string& reply) {
+bool SimulatorWire::process_line(std::string& line, std::string& reply) {
     try {
-        return state_->take_line(line, reply);
+        return state_->process_line(line, reply);
     } catch (const BadValue& error) {
         throw WireError(state_->line_count(), error.what());
     } catch (const std::invalid_argument& error) {
@@ -118,7 +119,7 @@
     }
 }
 
-bool SimulatorWire::State::take_line(std::string& line, std::string& reply) {
+bool SimulatorWire::State::process_line(std::string& line, std::string& reply) {
     ++line_count_;
     if (is_blank(line)) return false;
     const Message message = parser_.parse(line);
@@ -165,7 +166,8 @@
     const std::int64_t gateway_id = as_integer(fields.required(0, "gatewayId"), "gatewayId");
     const auto found = instances_.find(gateway_id);
     if (kind == MessageKind::sync) {
-        // Read in any case: a slot that no Directory declared is an error for unknown gateways as well.
+        // The message is read even if the gateway is unknown, because a slot without a declared list is an
+        // error in any case.
         auto hosts_changed = read_hosts_changed(fields, host_lists_);
         if (!hosts_changed || found == instances_.end()) return;
         return deliver(gateway_id, found->second, *std::move(hosts_changed));
--- a/tests/simulator_adapter/simulator_wire_test.cpp
+++ b/tests/simulator_adapter/simulator_wire_test.cpp
@@ -1,4 +1,4 @@
-// SimulatorWire and base64, by lines as the simulator sends them.
+// Tests of SimulatorWire with lines in the simulator's format, and of base64.
 #include "simulator_wire.h"
 
 #include <gtest/gtest.h>
@@ -13,79 +13,82 @@
     R"("promiseUs":800000,"value":1}],"ceilings":{"maxAttempts":2},"guarantees":{"startCapacity":0.2},"tickUs":4000,)"
     R"("tiersOfService":[{"name":"basic","rate":1,"mostAtOnce":2}],"unknownKey":[1,{"a":2}]})";
 
-// Feeds lines to the wire; gives every reply, one behind the other.
-std::string feed(SimulatorWire& wire, std::initializer_list<std::string> lines) {
+// Processes the lines and returns the replies, concatenated.
+std::string process_lines(SimulatorWire& wire, std::initializer_list<std::string> lines) {
     std::string out;
-    for (std::string line : lines) wire.take_line(line, out);
+    for (std::string line : lines) wire.process_line(line, out);
     return out;
 }
-// The message of the first line's error; empty where every line was taken.
-std::string error_of(std::initializer_list<std::string> lines) {
+// Processes the lines and returns the message of the first error, or an empty text if there is none.
+std::string error_message_of(std::initializer_list<std::string> lines) {
     SimulatorWire wire;
     try {
-        feed(wire, lines);
+        process_lines(wire, lines);
     } catch (const WireError& error) {
         return error.what();
     }
     return "";
 }
-std::string attach() { return R"(["Attach",0,18446744073709551615,)" + config + "]"; }
-const std::string hosts = R"(["Directory",0,[["h:1","z","k",0,"U",1,null]]])";
+std::string attach_line() { return R"(["Attach",0,18446744073709551615,)" + config + "]"; }
+const std::string directory_line = R"(["Directory",0,[["h:1","z","k",0,"U",1,null]]])";
 const std::string sync_line = R"(["Sync",0,"restored",1,0])";
-const std::string request = R"(["NewRequest",0,7,1,0,1500000,"key:a",0,"basic","read",1])";
+const std::string request_line = R"(["NewRequest",0,7,1,0,1500000,"key:a",0,"basic","read",1])";
 }  // namespace
 
-TEST(SimulatorWire, EmptyBatch) {
+TEST(SimulatorWire, AnEmptyBatchHasAnEmptyReply) {
     SimulatorWire wire;
-    EXPECT_EQ(feed(wire, {R"(["Turn",5])", R"(["EofBatch"])"}), "[\"End\"]\n");
+    EXPECT_EQ(process_lines(wire, {R"(["Turn",5])", R"(["EofBatch"])"}), "[\"End\"]\n");
 }
 
-TEST(SimulatorWire, SendsARequestAndSkipsWhatItDoesNotKnow) {
+TEST(SimulatorWire, SendsARequestAndIgnoresUnknownMessages) {
     SimulatorWire wire;
-    const std::string out =
-        feed(wire, {R"(["Turn",5])", attach(), hosts, sync_line, R"(["Novelty",0,{"x":1}])",
-                    R"(["TallyBack",0,"x","GOOD",1,2])", request, R"(["EofBatch"])"});
+    const std::string out = process_lines(
+        wire, {R"(["Turn",5])", attach_line(), directory_line, sync_line, R"(["Novelty",0,{"x":1}])",
+               R"(["TallyBack",0,"x","GOOD",1,2])", request_line, R"(["EofBatch"])"});
     EXPECT_NE(out.find(R"(["Send",0,7,"h:1",1500000])"), std::string::npos) << out;
     EXPECT_EQ(out.substr(out.size() - 8), "[\"End\"]\n");
 }
 
-TEST(SimulatorWire, NothingComesFromADestroyedInstance) {
+TEST(SimulatorWire, ADestroyedInstanceProducesNoActions) {
     SimulatorWire wire;
-    feed(wire, {R"(["Turn",5])", attach(), hosts, sync_line, R"(["EofBatch"])"});
-    EXPECT_EQ(feed(wire, {R"(["Turn",6])", R"(["Destroy",0])", request, R"(["EofBatch"])"}), "[\"End\"]\n");
+    process_lines(wire, {R"(["Turn",5])", attach_line(), directory_line, sync_line, R"(["EofBatch"])"});
+    EXPECT_EQ(process_lines(wire, {R"(["Turn",6])", R"(["Destroy",0])", request_line, R"(["EofBatch"])"}),
+              "[\"End\"]\n");
 }
 
-TEST(SimulatorWire, MalformedInputIsNamedByLine) {
-    EXPECT_NE(
-        error_of({R"(["Turn",5])", "{nonsense"}).find("line 2: malformed line: expected one JSON array"),
-        std::string::npos);
-    EXPECT_NE(error_of({R"(["Turn","x"])"}).find("clock: expected a number"), std::string::npos);
-    EXPECT_NE(error_of({R"(["Turn",5])", attach(), R"(["Sync",0,"replace",1,3])"})
-                  .find("a list that a Directory declared"),
+TEST(SimulatorWire, ErrorsNameTheLineAndTheExpectedValue) {
+    EXPECT_NE(error_message_of({R"(["Turn",5])", "{nonsense"})
+                  .find("line 2: malformed line: expected one JSON array"),
               std::string::npos);
-    EXPECT_NE(error_of({R"(["Turn",5])", R"(["Attach",0,1,{"rank":0}])"}).find("'instances' is missing"),
+    EXPECT_NE(error_message_of({R"(["Turn","x"])"}).find("clock: expected a number"), std::string::npos);
+    EXPECT_NE(error_message_of({R"(["Turn",5])", attach_line(), R"(["Sync",0,"replace",1,3])"})
+                  .find("a list that a Directory declared"),
               std::string::npos);
-    EXPECT_NE(error_of({R"(["Turn",5])", attach(), R"(["NewRequest",0,7])"}).find("line 3"),
+    EXPECT_NE(
+        error_message_of({R"(["Turn",5])", R"(["Attach",0,1,{"rank":0}])"}).find("'instances' is missing"),
+        std::string::npos);
+    EXPECT_NE(error_message_of({R"(["Turn",5])", attach_line(), R"(["NewRequest",0,7])"}).find("line 3"),
               std::string::npos);
-    EXPECT_NE(error_of({R"(["Turn",5])", attach(), R"(["Returned",0,7,0,"h:1","ODD",1,true])"})
+    EXPECT_NE(error_message_of({R"(["Turn",5])", attach_line(), R"(["Returned",0,7,0,"h:1","ODD",1,true])"})
                   .find("status: expected"),
               std::string::npos);
-    EXPECT_NE(error_of({R"(["EofBatch"])"}).find("a Turn line first"), std::string::npos);
-    EXPECT_NE(error_of({R"(["Turn",5])", R"(["Turn",4])"}).find("does not go back"), std::string::npos);
+    EXPECT_NE(error_message_of({R"(["EofBatch"])"}).find("a Turn line first"), std::string::npos);
+    EXPECT_NE(error_message_of({R"(["Turn",5])", R"(["Turn",4])"}).find("does not go back"),
+              std::string::npos);
 }
 
-TEST(SimulatorWire, AnErrorKnowsItsLine) {
+TEST(SimulatorWire, ErrorLineNumbersCountAllProcessedLines) {
     SimulatorWire wire;
-    feed(wire, {R"(["Turn",5])", "", R"(["EofBatch"])"});
+    process_lines(wire, {R"(["Turn",5])", "", R"(["EofBatch"])"});
     try {
-        feed(wire, {R"(["Turn",4])"});
-        FAIL() << "a clock that goes back was taken";
+        process_lines(wire, {R"(["Turn",4])"});
+        FAIL() << "accepted a Turn line whose clock goes back";
     } catch (const WireError& error) {
         EXPECT_EQ(error.line_number(), 4u);
     }
 }
 
-TEST(SimulatorWire, Base64) {
+TEST(SimulatorWire, Base64RoundTripsAndRejectsMalformedText) {
     for (const std::string text : {"", "a", "ab", "abc", "abcd"}) {
         std::string encoded;
         append_base64(encoded, text);
