--- a/src/server/admin_server.cpp
+++ b/src/server/admin_server.cpp
@@ -15,16 +15,24 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t max_connections = 8;      // part of the descriptors that main.cpp reserves
-constexpr std::size_t max_message_size = 4096;  // bytes of a call's header, and of its body
-constexpr auto call_timeout = 800ms;            // every answer is due within a second
-constexpr auto linger_timeout = 200ms;          // for the caller to close first
-constexpr auto accept_retry_interval = 20ms;    // after an accept that failed for lack of a resource
-
-Answer plain(http::status status) {
+// The descriptors of these connections are part of those that main.cpp reserves.
+constexpr std::size_t max_connections = 8;
+// Limits the header and the body of a request separately.
+constexpr std::size_t max_message_bytes = 4096;
+// Limits the time to read a request, and again the time to write its answer. Each answer is due within one
+// second.
+constexpr auto call_timeout = 800ms;
+// Once the answer is written, the caller has this long to close the connection first.
+constexpr auto linger_timeout = 200ms;
+// Delay before the next accept after one that failed, for example for lack of a descriptor.
+constexpr auto accept_retry_interval = 20ms;
+
+// Returns an answer whose body is the reason phrase of the status.
+Answer make_status_answer(http::status status) {
     return make_answer(status, std::string(http::obsolete_reason(status)) + '\n');
 }
 
+// A path of the admin interface, the only method it accepts, and the call it makes.
 struct Route {
     std::string_view target;
     http::verb method;
@@ -36,12 +44,14 @@
                                        {"/standby", http::verb::post, AdminCall::Kind::enter_standby},
                                        {"/active", http::verb::post, AdminCall::Kind::leave_standby}}};
 
+// Returns null if no route has the target.
 const Route* find_route(std::string_view target) {
     const auto* const found = std::find_if(routes.begin(), routes.end(),
                                            [&](const Route& route) { return route.target == target; });
     return found == routes.end() ? nullptr : found;
 }
 
+// Returns the text without leading and trailing whitespace.
 std::string trimmed(std::string_view text) {
     const auto first = text.find_first_not_of(" \t\r\n");
     if (first == std::string_view::npos) return {};
@@ -49,17 +59,18 @@
 }
 }  // namespace
 
-// One caller: reads a call, writes the answer and closes. Keeps itself alive while an operation is pending.
+// A connection of one caller: reads one request, writes the answer and closes. Each pending operation holds a
+// shared pointer to the connection.
 class AdminServer::Connection : public std::enable_shared_from_this<Connection> {
   public:
     Connection(AdminServer& server, tcp::socket&& socket)
         : server_(server), socket_(std::move(socket)), timer_(socket_.get_executor()) {
-        parser_.header_limit(max_message_size);
-        parser_.body_limit(max_message_size);
+        parser_.header_limit(max_message_bytes);
+        parser_.body_limit(max_message_bytes);
         error_code ec;
         socket_.non_blocking(true, ec);
     }
-    // This connection's place in the server's list, set before `start`.
+    // The position of this connection in the server's list. Has to be set before `start` is called.
     Connections::iterator position;
 
     void start() {
@@ -85,12 +96,13 @@
         error_code ec;
         timer_.cancel();
         socket_.close(ec);
-        const auto keep_alive = shared_from_this();  // beyond its place in the list
+        // Keeps the object alive until this function returns, because the list drops its pointer.
+        const auto keep_alive = shared_from_this();
         server_.connections_.erase(position);
     }
 
   private:
-    void answer(http::status status) { answer(plain(status)); }
+    void answer(http::status status) { answer(make_status_answer(status)); }
     void answer(Answer&& answer) {
         answered_ = true;
         answer.keep_alive(false);
@@ -103,6 +115,7 @@
         });
         write(0);
     }
+    // Writes the serialized answer from the byte offset `from` on.
     void write(std::size_t from) {
         error_code ec;
         from += write_available(socket_, std::string_view(serialized_answer_).substr(from), ec);
@@ -114,8 +127,9 @@
             self->write(from);
         });
     }
-    // Whatever the caller still sends is read and discarded, because a close with unread input would reset
-    // the connection and could destroy the answer.
+    // Reads and discards further input until the caller closes or the linger timeout ends. Closing a socket
+    // with unread input resets the connection, and the reset can destroy the answer before the caller reads
+    // it.
     void on_written() {
         error_code ec;
         socket_.shutdown(tcp::socket::shutdown_send, ec);
@@ -136,7 +150,7 @@
     AdminServer& server_;
     tcp::socket socket_;
     asio::steady_timer timer_;
-    boost::beast::flat_buffer read_buffer_{2 * max_message_size};
+    boost::beast::flat_buffer read_buffer_{2 * max_message_bytes};
     http::request_parser<http::string_body> parser_;
     std::array<char, 512> discarded_;
     std::string serialized_answer_;
@@ -175,8 +189,8 @@
 }
 
 Answer AdminServer::respond(const Request& request) const {
-    if (request.target() != "/metrics" || !on_metrics_) return plain(execute(request));
-    if (request.method() != http::verb::get) return plain(http::status::method_not_allowed);
+    if (request.target() != "/metrics" || !on_metrics_) return make_status_answer(execute(request));
+    if (request.method() != http::verb::get) return make_status_answer(http::status::method_not_allowed);
     Answer answer = make_answer(http::status::ok, on_metrics_());
     answer.set(http::field::content_type, "text/plain; version=0.0.4");
     return answer;
--- a/src/server/admin_server.h
+++ b/src/server/admin_server.h
@@ -1,4 +1,5 @@
-// The admin interface for operators: a listener of its own, one call per connection.
+// The admin interface for operators: an HTTP server with its own listener, which serves one request per
+// connection.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,23 +14,26 @@
 
 namespace gateway::server {
 
+// A request of an operator.
 struct AdminCall {
     enum class Kind { status, ban, unban, enter_standby, leave_standby };
     Kind kind = Kind::status;
-    std::string host;  // uid; of ban and unban only
+    // The uid of the host to ban or unban; empty for the other kinds.
+    std::string host;
 };
 
-// Serves operators' calls. Its few connections are not part of the clients' socket budget, and the oldest
-// gives way to a new one, so that operators reach the gateway also under load.
+// Serves admin calls. Its connections do not count against the socket budget of clients and hosts. At the
+// connection limit, the oldest connection is closed in favour of the new one. Operators therefore reach the
+// gateway even under load.
 class AdminServer {
   public:
-    // Returns the status of the answer.
+    // Executes a call and returns the status of the answer.
     using OnCall = std::function<http::status(const AdminCall&)>;
-    // Returns the text of /metrics.
+    // Returns the body of the answer to GET /metrics.
     using OnMetrics = std::function<std::string()>;
 
-    // Without `on_metrics` there is no /metrics. Throws boost::system::system_error if the address can't be
-    // bound.
+    // Without `on_metrics`, a request for /metrics is answered with 404. Throws boost::system::system_error
+    // if the address can't be bound.
     AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, OnCall on_call,
                 OnMetrics on_metrics = {});
     ~AdminServer();
@@ -43,14 +47,16 @@
     using Connections = std::list<std::shared_ptr<Connection>>;
 
     void accept();
+    // Returns the answer to a request, including /metrics.
     [[nodiscard]] Answer respond(const Request& request) const;
+    // Validates a request for one of the routes, calls `on_call_` and returns the status of the answer.
     [[nodiscard]] http::status execute(const Request& request) const;
 
     boost::asio::ip::tcp::acceptor acceptor_;
     boost::asio::steady_timer accept_retry_;
     OnCall on_call_;
     OnMetrics on_metrics_;
-    Connections connections_;  // the oldest first
+    Connections connections_;  // oldest first
 };
 
 }  // namespace gateway::server
--- a/src/server/discovery.h
+++ b/src/server/discovery.h
@@ -1,4 +1,4 @@
-// The client of discovery: polls and watches the endpoint list.
+// The client of the discovery service: polls and watches the endpoint list.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,54 +18,60 @@
 
 namespace gateway::server {
 
-// The times of a gateway's calls to discovery. After a failed call the next one waits for the backoff, and
-// timeouts in a row double the response timeout: discovery goes on working at calls that were given up, so
-// that many gateways with a short timeout would get no answer at all.
+// The timeouts and backoffs of a gateway's calls to discovery. A failed call is repeated after the backoff.
+// Consecutive timeouts double the response timeout: discovery keeps working on abandoned calls, so that many
+// gateways with a short timeout would get no answer at all.
 struct WatchTiming {
-    std::chrono::milliseconds hold{1000};             // how long discovery may hold a watch before it answers
-    std::chrono::milliseconds response_timeout{400};  // beyond the hold
+    // How long discovery may hold a watch before it answers without a change.
+    std::chrono::milliseconds hold{1000};
+    // How long the gateway waits for a response after the hold time.
+    std::chrono::milliseconds response_timeout{400};
     std::chrono::milliseconds max_response_timeout{1600};
     std::chrono::milliseconds initial_backoff{100};
     std::chrono::milliseconds max_backoff{1600};
-    bool polling_is_free = false;  // discovery answers at once, so that no backoff follows a timeout
+    // The agent answers a poll without delay, so that a call that timed out is repeated without a backoff.
+    bool agent_answers_at_once = false;
 };
 
-// Polls for the complete list first, or for what is newer than a known list, then watches for what is newer
-// than the last answer. After a failure it polls again on a fresh connection: for the complete list, unless
-// the agent was only overloaded or late, when the changes suffice and cost discovery less.
+// Keeps the gateway's endpoint list up to date. Polls first, for the complete list or for the changes since a
+// known list, and then watches for the changes since the last answer. After a failure it polls again on a new
+// connection. That poll asks for the complete list, unless the agent was only overloaded or late: then the
+// changes suffice and cost discovery less.
 class Discovery {
   public:
     using OnList = std::function<void(const EndpointList&)>;
 
-    // The timing for one of so many gateways. `pushed`: the agent has the lists at hand and answers at once;
-    // its return after a timeout has to be noticed within a drain's grace period. Otherwise lists are polled
-    // from discovery, which many gateways overload with calls that are rejected or given up before their
-    // turn. `max_poll_interval`: after a failed call the next one is due within four times this; 0: not
-    // bounded.
+    // Returns the timing for a fleet of `gateways`. If `pushed`, the agent has the lists at hand and answers
+    // without delay, and the gateway has to notice within the grace period of a drain that the agent responds
+    // again after a timeout. Otherwise lists are polled from discovery, which many gateways can overload, so
+    // that it rejects calls or gateways abandon them before they are served. After a failed call, the next
+    // one is made within four times `max_poll_interval`; 0 sets no limit.
     [[nodiscard]] static WatchTiming timing_for(int gateways, bool pushed,
                                                 std::chrono::microseconds max_poll_interval = {});
 
-    // `known_version`: of the list that the gateway has already; none: the complete list is polled first.
+    // Starts with a poll. `known_version` is the version of the list that the gateway already has; without
+    // it, the first poll asks for the complete list. `seed` seeds the jitter of the backoff.
     Discovery(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint agent, OnList on_list,
               WatchTiming timing = {}, std::uint64_t seed = 1,
               std::optional<std::int64_t> known_version = {});
-    // Uses another agent from now on and polls it for the complete list first, because its versions are not
+    // Switches to another agent. Polls it for the complete list first, because its version numbers are not
     // comparable with those of the previous agent.
     void set_agent(const boost::asio::ip::tcp::endpoint& agent);
-    // No list is reported any more.
+    // Ends all calls. `on_list` is not called any more.
     void stop();
 
   private:
+    // The kind of a failed call, which determines the next call.
     enum class Failure { connection_lost, overloaded, timed_out };
 
-    [[nodiscard]] static WatchTiming timing_of_polls(int gateways);
+    [[nodiscard]] static WatchTiming polling_timing(int gateways);
     void poll();
     void send_request();
     void write_request(std::size_t from);
     void read_response();
     void read_more();
     void on_response();
-    void on_body(const std::string& body);
+    void on_response_body(const std::string& body);
     void retry(const char* cause, Failure failure = Failure::connection_lost);
     void reset_connection();
     [[nodiscard]] bool finish_operation(std::size_t generation);
@@ -74,22 +80,26 @@
     OnList on_list_;
     WatchTiming timing_;
     std::minstd_rand random_;
-    std::chrono::milliseconds response_timeout_;  // of the next call
-    std::chrono::milliseconds backoff_;           // after the next failure
+    std::chrono::milliseconds response_timeout_;  // for the next call
+    std::chrono::milliseconds backoff_;           // delay after the next failure
     boost::beast::tcp_stream stream_;
     boost::asio::steady_timer backoff_timer_;
     boost::beast::flat_buffer buffer_;
     std::optional<http::response_parser<http::string_body>> parser_;
-    std::optional<std::chrono::steady_clock::time_point> response_deadline_;  // once the response has begun
+    // Set when the first part of a response arrives; the complete response is due by then.
+    std::optional<std::chrono::steady_clock::time_point> response_deadline_;
     std::string request_;
-    std::optional<std::int64_t> version_;  // of the list that the gateway has
+    // The version of the gateway's list; unset if the next call has to ask for the complete list.
+    std::optional<std::int64_t> version_;
     bool connected_ = false;
-    bool failing_ = false;  // the last call failed
+    bool failing_ = false;  // whether the last call failed
     bool stopped_ = false;
-    bool is_watch_ = false;            // the current call is a watch rather than a poll
-    bool agent_has_answered_ = false;  // with a list, or that nothing is newer than the known one
-    bool operation_pending_ = false;   // on the stream
-    std::size_t generation_ = 0;       // of the connection, so that handlers of a previous one are recognised
+    bool is_watch_ = false;  // whether the current call is a watch and not a poll
+    // Whether the current agent has answered with a list, which may be empty.
+    bool agent_has_answered_ = false;
+    bool operation_pending_ = false;  // whether an asynchronous operation is pending on the stream
+    // Number of the current connection, by which handlers recognise that they belong to an earlier one.
+    std::size_t generation_ = 0;
 };
 
 }  // namespace gateway::server
--- a/src/server/endpoint_list.cpp
+++ b/src/server/endpoint_list.cpp
@@ -18,7 +18,7 @@
     Endpoint endpoint;
     endpoint.uid = json::as_text(json::required(entry, "uid"), "uid");
     endpoint.state = read_state(entry);
-    // A host that is gone needs no address.
+    // The address is optional for a host that is gone.
     if (json::optional_key(entry, "endpoint") || endpoint.state != EndpointState::gone)
         endpoint.address = read_endpoint<boost::asio::ip::tcp::endpoint>(
             json::as_text(json::required(entry, "endpoint"), "endpoint"), "endpoint");
@@ -34,10 +34,10 @@
 }  // namespace
 
 template <class SocketAddress>
-SocketAddress read_endpoint(std::string_view text, std::string_view what) {
+SocketAddress read_endpoint(std::string_view text, std::string_view name) {
     constexpr std::string_view expected = "an address and port such as 127.0.0.1:8080";
     const std::size_t colon = text.rfind(':');
-    if (colon == std::string_view::npos) json::throw_bad_value(what, expected);
+    if (colon == std::string_view::npos) json::throw_bad_value(name, expected);
     std::string_view host = text.substr(0, colon);
     if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
     boost::system::error_code ec;
@@ -45,7 +45,7 @@
     std::uint16_t port = 0;
     const char* const end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data() + colon + 1, end, port);
-    if (ec || parsed.ec != std::errc() || parsed.ptr != end) json::throw_bad_value(what, expected);
+    if (ec || parsed.ec != std::errc() || parsed.ptr != end) json::throw_bad_value(name, expected);
     return {address, port};
 }
 template boost::asio::ip::tcp::endpoint read_endpoint(std::string_view, std::string_view);
--- a/src/server/endpoint_list.h
+++ b/src/server/endpoint_list.h
@@ -1,4 +1,4 @@
-// The endpoint list in discovery's JSON form, which the configuration and discovery's answers share.
+// The endpoint list in its JSON format, which discovery's answers and the configuration file share.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -10,8 +10,10 @@
 
 namespace gateway::server {
 
+// The state of a host as discovery reports it.
 enum class EndpointState { ready, draining, gone };
 
+// One host of an endpoint list.
 struct Endpoint {
     std::string uid;                         // the host's unique name
     boost::asio::ip::tcp::endpoint address;  // may be unset for a host that is gone
@@ -19,23 +21,23 @@
     std::string kind;
     std::int64_t cell = 0;
     EndpointState state = EndpointState::ready;
-    double weight = 1;         // relative capacity
-    std::int64_t boot_ms = 0;  // Unix time of the latest start; 0: long ago
+    double weight = 1;         // capacity relative to other hosts
+    std::int64_t boot_ms = 0;  // Unix time of the host's last start, in ms; 0: long ago
 };
 
 // A complete list, or the changes since an earlier version.
 struct EndpointList {
     std::int64_t version = 0;
-    bool complete = false;  // false: only what has changed since the earlier version
+    bool complete = false;  // false: contains only the changes since the earlier version
     std::vector<Endpoint> endpoints;
 };
 
-// Throws gateway::json::BadValue.
+// Parses an endpoint list. Throws gateway::json::BadValue if a value is missing or malformed.
 [[nodiscard]] EndpointList read_endpoint_list(gateway::json::object object);
 
-// Parses an address and port such as "127.0.0.1:8080"; `what` names the value in the error. Instantiated for
-// TCP and UDP endpoints. Throws gateway::json::BadValue.
+// Parses an address and port such as "127.0.0.1:8080". Instantiated for TCP and UDP endpoints. Throws
+// gateway::json::BadValue, which contains `name`, if the text is malformed.
 template <class SocketAddress>
-[[nodiscard]] SocketAddress read_endpoint(std::string_view text, std::string_view what);
+[[nodiscard]] SocketAddress read_endpoint(std::string_view text, std::string_view name);
 
 }  // namespace gateway::server
--- a/src/server/host_connection.cpp
+++ b/src/server/host_connection.cpp
@@ -17,16 +17,18 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::chrono::milliseconds connect_retry_backoff = 10ms;  // after a local failure
-// Neither side of a streamed response may make no progress for longer than this.
+// Delay before a connect is retried after a local failure.
+constexpr std::chrono::milliseconds connect_retry_backoff = 10ms;
+// A streamed response is aborted if its host sends nothing for this long.
 constexpr std::chrono::milliseconds stall_timeout = 10s;
-// An idle connection keeps no request buffer larger than this.
+// The request buffer of an idle connection is released if its capacity exceeds this.
 constexpr std::size_t max_idle_buffer_bytes = 4096;
 
-// Tells a host for how many milliseconds the gateway waits. The value is set as the request is written.
+// The request header with the time in milliseconds that the gateway still waits for the response. Its value
+// is set when the request is written.
 constexpr std::string_view time_left_header = "X-Expires-In-Ms";
 
-// Whether a connect failed because of this machine, temporarily: that says nothing about the host.
+// Whether a connect failed because of a temporary condition of this machine, which is no fault of the host.
 bool is_local_failure(error_code ec) {
     constexpr std::array errors{EADDRNOTAVAIL, EAGAIN, EMFILE,   ENFILE,
                                 ENOBUFS,       ENOMEM, ENETDOWN, ENETUNREACH};
@@ -38,12 +40,13 @@
     return std::chrono::duration_cast<std::chrono::microseconds>(now - start);
 }
 
-// Whether the host answered, as against an exchange that broke off.
+// Whether the outcome means that a response of the host ended the exchange.
 bool has_response(HostOutcome outcome) {
     return outcome == HostOutcome::success || outcome == HostOutcome::rejected ||
            outcome == HostOutcome::error;
 }
 
+// Maps a response to its outcome. X-Never-Ran marks a request that the host did not execute.
 HostOutcome outcome_of(const Answer& answer) {
     const unsigned status = answer.result_int();
     if (status == 200) return HostOutcome::success;
@@ -64,7 +67,7 @@
       deadline_timer_(io),
       connect_retry_timer_(io) {}
 
-bool HostConnection::silent() {
+bool HostConnection::has_no_pending_input() {
     char byte = 0;
     error_code ec;
     socket_.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, ec);
@@ -87,8 +90,8 @@
 }
 
 void HostConnection::start_exchange(bool without_body, std::chrono::microseconds timeout) {
-    since_ = Steady::now();
-    deadline_ = since_ + timeout;
+    phase_started_at_ = Steady::now();
+    deadline_ = phase_started_at_ + timeout;
     streaming_ = false;
     awaiting_resume_ = false;
     reader_.start(without_body);
@@ -97,7 +100,7 @@
         return write();
     }
     state_ = State::connecting;
-    set_deadline(std::min(deadline_, since_ + connect_timeout_));
+    set_deadline(std::min(deadline_, phase_started_at_ + connect_timeout_));
     connect();
 }
 
@@ -118,7 +121,7 @@
     socket.release();
     socket_.non_blocking(true, ec);
     state_ = State::idle;
-    since_ = Steady::now() - idle_for;
+    phase_started_at_ = Steady::now() - idle_for;
     read();
     return true;
 }
@@ -159,12 +162,12 @@
     });
 }
 
-// A local failure is retried until the connect timeout.
-void HostConnection::on_connect_failed(error_code cause) {
-    if (!is_local_failure(cause)) return finish_without_response(HostOutcome::connect_failed);
+// Retries the connect after a local failure, until the connect timeout. Any other failure ends the exchange.
+void HostConnection::on_connect_failed(error_code failure) {
+    if (!is_local_failure(failure)) return finish_without_response(HostOutcome::connect_failed);
     LogLine(LogLevel::debug, "connect_failed_locally")
         .with("host", host_->uid)
-        .with("error", cause.message());
+        .with("error", failure.message());
     connect_failed_locally_ = true;
     error_code ec;
     socket_.close(ec);
@@ -178,7 +181,7 @@
     deadline_timer_.expires_at(when);
     if (when == Steady::time_point::max()) return;
     deadline_timer_.async_wait([self = shared_from_this()](error_code cancelled) {
-        // The deadline may have been moved after the wait had ended and before this handler runs.
+        // The deadline may have been moved after the timer expired and before this handler ran.
         if (!cancelled && self->deadline_timer_.expiry() <= Steady::now()) self->on_deadline();
     });
 }
@@ -201,8 +204,9 @@
         state_ = State::awaiting_response;
         return;
     }
-    // Waits first and writes then: with the last byte the host may execute the request, and whatever ends the
-    // attempt from that moment on must find the state changed.
+    // Waits until the socket is writable and then writes synchronously. Once the last byte is written, the
+    // host may execute the request, so the state has to change together with that write: whatever ends the
+    // attempt afterwards must not see the request as unsent.
     socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this(), written](error_code failed) {
         if (self->state_ != State::writing) return;
         if (failed) return self->finish_without_response(HostOutcome::connect_failed);
@@ -210,8 +214,8 @@
     });
 }
 
-// Puts the time left until the deadline into the request, because the connection may have come up long after
-// the attempt began.
+// Writes the time left until the deadline into the header of the buffered request, because connecting may
+// have taken a large part of the attempt's time.
 void HostConnection::update_time_left_header() {
     const std::string line_start = std::string("\r\n").append(time_left_header).append(": ");
     const std::string_view header =
@@ -224,8 +228,8 @@
                             std::to_string(std::max<std::int64_t>(1, left)));
 }
 
-// Waits first and reads then: a read that is done while its handler has not run would hide bytes from
-// silent().
+// Waits until the socket is readable and then reads synchronously. An asynchronous read could complete before
+// its handler runs, and has_no_pending_input() would not see the bytes that it had consumed.
 void HostConnection::read() {
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code ec) {
         if (self->state_ == State::closed) return;
@@ -238,7 +242,7 @@
     std::size_t bytes = 0;
     if (!ec) bytes = socket_.read_some(reader_.prepare(streaming_), ec);
     if (is_would_block(ec)) return read();
-    if (state_ == State::idle) return close_idle();  // its end, or bytes that nobody requested
+    if (state_ == State::idle) return close_idle();  // end of stream, error or unrequested bytes
     const bool awaiting_response = state_ == State::awaiting_response;
     if (ec == asio::error::eof && awaiting_response && reader_.finish_at_end_of_stream())
         return finish_with_response();
@@ -248,9 +252,9 @@
     const auto self = shared_from_this();
     const HostResponseReader::Progress progress = reader_.parse();
     if (progress == HostResponseReader::Progress::complete) finish_with_response();
-    // A malformed response is an error and not a failed connection: the host is up and may have executed the
-    // request. Guards against hosts that are skipped as if they were down for a malformed response now and
-    // then.
+    // A malformed response counts as an error and not as a failed connection, because the host is up and may
+    // have executed the request. Otherwise an occasional malformed response would have the host skipped as if
+    // it were down.
     if (progress == HostResponseReader::Progress::malformed || !reader_.has_space())
         return finish_without_response(request_unsent() ? HostOutcome::reset : HostOutcome::error);
     if (state_ == State::closed || (reader_.active() && !stream_response())) return;
@@ -282,14 +286,15 @@
 
 bool HostConnection::begin_streaming() {
     streaming_ = true;
-    began_after_ = elapsed_since(since_, Steady::now());
+    time_to_stream_start_ = elapsed_since(phase_started_at_, Steady::now());
     HostResult result;
     result.outcome = HostOutcome::success;
-    result.elapsed = began_after_;
+    result.elapsed = time_to_stream_start_;
     result.answer.base() = reader_.header();
     result.answer.body() = std::exchange(reader_.body(), {});
     awaiting_resume_ = true;
-    set_deadline(Steady::time_point::max());  // it waits for the client now, which has a timeout of its own
+    // The exchange waits until the client has read the piece. The client's connection has its own timeout.
+    set_deadline(Steady::time_point::max());
     const auto self = shared_from_this();
     if (!owner_.on_response_begun(key_, host_->uid, std::move(result))) cancel();
     return false;
@@ -305,22 +310,22 @@
     result.load_report.assign(load_report.data(), load_report.size());
     result.outcome = outcome_of(result.answer);
     const bool reusable = has_length && state_ == State::awaiting_response && result.answer.keep_alive() &&
-                          reader_.buffered_bytes() == 0 && silent() && host_->accepts_requests() &&
-                          host_->endpoint == endpoint_;
-    report(std::move(result), reusable);
+                          reader_.buffered_bytes() == 0 && has_no_pending_input() &&
+                          host_->accepts_requests() && host_->endpoint == endpoint_;
+    report_result(std::move(result), reusable);
 }
 
 void HostConnection::finish_without_response(HostOutcome outcome) {
     HostResult result;
     result.outcome = outcome;
-    report(std::move(result), false);
+    report_result(std::move(result), false);
 }
 
-void HostConnection::report(HostResult&& result, bool reusable) {
+void HostConnection::report_result(HostResult&& result, bool reusable) {
     const auto self = shared_from_this();
     owner_.on_exchange_ended(self);
     const auto now = Steady::now();
-    result.elapsed = streaming_ ? began_after_ : elapsed_since(since_, now);
+    result.elapsed = streaming_ ? time_to_stream_start_ : elapsed_since(phase_started_at_, now);
     reader_.stop();
     if (reusable) become_idle(now);
     else
@@ -332,9 +337,9 @@
 
 void HostConnection::become_idle(Steady::time_point now) {
     state_ = State::idle;
-    since_ = now;
+    phase_started_at_ = now;
     deadline_timer_.cancel();
-    // Releases the memory that a large exchange needed.
+    // Releases the buffers of a large exchange.
     reader_.shrink();
     if (request_buffer_.capacity() > max_idle_buffer_bytes) std::string().swap(request_buffer_);
     owner_.on_idle(shared_from_this());
@@ -342,7 +347,7 @@
 
 void HostConnection::close_idle() {
     const auto self = shared_from_this();
-    owner_.on_idle_lost(self);
+    owner_.on_idle_closing(self);
     close(HostCloseReason::closed_by_host);
 }
 
--- a/src/server/host_connection.h
+++ b/src/server/host_connection.h
@@ -1,4 +1,4 @@
-// One connection to a host, and the one exchange at a time on it.
+// A connection to a host, which carries one exchange (a request and its response) at a time.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,83 +22,91 @@
 
 class HostConnection;
 
-// A host as the endpoint list and the operators describe it, and its idle connections.
+// A host as the endpoint list and the operators' bans describe it, with its idle connections.
 struct PooledHost {
     std::string uid;
     boost::asio::ip::tcp::endpoint endpoint;
     bool listed_ready = true;
     bool banned = false;
-    std::vector<std::shared_ptr<HostConnection>> idle_connections;  // the most recently used one last
+    std::vector<std::shared_ptr<HostConnection>> idle_connections;  // most recently used last
 
+    // Whether the host is listed as ready and not banned.
     [[nodiscard]] bool accepts_requests() const { return listed_ready && !banned; }
 };
 
-// What a connection reports to its owner. The owner outlives each connection that is not closed.
+// The interface through which a connection reports to its owner. The owner has to outlive each connection
+// that is not closed.
 class HostConnectionOwner {
   public:
-    // The exchange has ended; the connection is idle or closed next, and its result is reported after that.
+    // The exchange has ended. Next the connection becomes idle or is closed, and then the result is reported.
     virtual void on_exchange_ended(const std::shared_ptr<HostConnection>& connection) = 0;
-    // The connection can be used for a further exchange.
+    // The connection is idle and can be reused for a further exchange.
     virtual void on_idle(const std::shared_ptr<HostConnection>& connection) = 0;
-    // An idle connection is closed next.
-    virtual void on_idle_lost(const std::shared_ptr<HostConnection>& connection) = 0;
+    // The connection was idle and is about to be closed.
+    virtual void on_idle_closing(const std::shared_ptr<HostConnection>& connection) = 0;
+    // The connection was closed, or handed over to another process.
     virtual void on_closed(HostCloseReason reason, const std::string& uid) = 0;
     virtual void on_attempt_result(const AttemptKey& key, const std::string& uid, HostResult&& result) = 0;
     virtual void on_health_check_result(const std::string& uid, HostResult&& result) = 0;
-    // Whether long responses are streamed; otherwise they are held complete.
+    // Whether long responses are streamed. Otherwise each response is buffered until it is complete.
     [[nodiscard]] virtual bool streams_responses() const = 0;
-    // A streamed response has begun. Returns false to have the attempt cancelled.
+    // The header and the first part of a streamed response have arrived. Returns false to cancel the attempt.
     [[nodiscard]] virtual bool on_response_begun(const AttemptKey& key, const std::string& uid,
                                                  HostResult&& result) = 0;
-    // A further piece of a streamed response. The last one comes with the result.
+    // A further piece of a streamed response has arrived. The last piece is part of the attempt's result.
     virtual void on_response_piece(const AttemptKey& key, std::string&& piece) = 0;
 
   protected:
     ~HostConnectionOwner() = default;
 };
 
-// A connection to a host. A read is always pending once it is connected, so that its end is noticed while it
-// is idle, too. It is never reused after a timeout, a cancellation or anything unexpected.
+// A connection to a host. Once it is connected, it waits for input even while it is idle, so that it notices
+// when the host closes it. It does not read while a piece of a streamed response is being forwarded. It is
+// never reused after a timeout, a cancellation or unexpected input.
 class HostConnection : public std::enable_shared_from_this<HostConnection> {
   public:
     HostConnection(boost::asio::io_context& io, HostConnectionOwner& owner, std::shared_ptr<PooledHost> host,
                    SocketBudget::Place&& place, std::chrono::microseconds connect_timeout);
 
     [[nodiscard]] const std::shared_ptr<PooledHost>& host() const { return host_; }
-    // The address it is connected to; the host may have moved since.
+    // The address that the connection was made to. The host may have moved to another address since.
     [[nodiscard]] const boost::asio::ip::tcp::endpoint& endpoint() const { return endpoint_; }
-    [[nodiscard]] Steady::time_point idle_since() const { return since_; }
+    // When the connection became idle. Requires that it is idle.
+    [[nodiscard]] Steady::time_point idle_since() const { return phase_started_at_; }
+    // Whether the current or last exchange is this attempt.
     [[nodiscard]] bool carries(const AttemptKey& key) const { return !is_health_check_ && key == key_; }
     [[nodiscard]] bool carries_attempt_of(std::uint64_t request) const {
         return !is_health_check_ && request == key_.request;
     }
-    // Whether the last byte of the request has not been written, so that the host can't have executed it.
+    // Whether the request has not been written completely, so that the host can't have executed it.
     [[nodiscard]] bool request_unsent() const {
         return state_ == State::connecting || state_ == State::writing;
     }
-    // Whether it has been idle since `time` or longer. A connection whose last exchange was a health check
-    // always counts as such, because a host answers a health check once and beside its work.
+    // Whether the connection became idle at `time` or earlier. Always true if the last exchange was a health
+    // check, because a host answers a health check only once and independently of its other work.
     [[nodiscard]] bool idle_since_before(Steady::time_point time) const {
-        return is_health_check_ || since_ <= time;
+        return is_health_check_ || phase_started_at_ <= time;
     }
-    // Whether nothing has arrived and the host has not closed it, as of now. Guards against responses to an
-    // earlier request: surplus bytes or an end may be here though no handler has run yet.
-    [[nodiscard]] bool silent();
+    // Whether the socket has no unread bytes and the host has not closed the connection. Checks the socket
+    // itself, because surplus bytes of an earlier response or an end of stream may have arrived although no
+    // handler has run yet. Such bytes would be taken for the response to the next request.
+    [[nodiscard]] bool has_no_pending_input();
 
-    // Sends the request and reports one result, at times before it returns. Sets the header that tells the
-    // host how much time is left.
+    // Sends the request and reports exactly one result, possibly before this function returns. Sets the
+    // request header that tells the host how much time is left.
     void send_attempt(const AttemptKey& key, Request& request, std::chrono::microseconds timeout);
-    // Sends a health check and reports one result, at times before it returns.
+    // Sends a health check and reports exactly one result, possibly before this function returns.
     void send_health_check(std::chrono::microseconds timeout);
+    // Ends the exchange with the outcome `cancelled`.
     void cancel() { finish_without_response(HostOutcome::cancelled); }
     // Ends the exchange if its request is unsent.
     void end_if_unsent(HostOutcome outcome);
-    // The last piece of a streamed response has been forwarded: reads on.
+    // Continues to read a streamed response, after its last piece has been forwarded.
     void resume_reading();
 
-    // Takes over an idle connection of another process. Returns false where the socket can't be used.
+    // Takes over the socket of an idle connection of another process. Returns false if it can't be used.
     [[nodiscard]] bool adopt(Descriptor&& socket, std::chrono::microseconds idle_for);
-    // Gives up an idle connection for another process.
+    // Returns the socket of an idle connection, to be handed over to another process.
     [[nodiscard]] Descriptor release();
     void close(HostCloseReason reason);
 
@@ -107,7 +115,7 @@
 
     void start_exchange(bool without_body, std::chrono::microseconds timeout);
     void connect();
-    void on_connect_failed(boost::system::error_code cause);
+    void on_connect_failed(boost::system::error_code failure);
 
     void set_deadline(Steady::time_point when);
     void on_deadline();
@@ -118,13 +126,14 @@
     void read();
     void on_readable(boost::system::error_code ec);
     void on_handler_error();
-    // Hands on what has come of a streamed response. Returns false where nothing is to be read for now.
+    // Forwards the received part of a response that is streamed. Returns false if reading has to pause until
+    // `resume_reading` is called.
     [[nodiscard]] bool stream_response();
     [[nodiscard]] bool begin_streaming();
 
     void finish_with_response();
     void finish_without_response(HostOutcome outcome);
-    void report(HostResult&& result, bool reusable);
+    void report_result(HostResult&& result, bool reusable);
     void become_idle(Steady::time_point now);
     void close_idle();
 
@@ -140,12 +149,13 @@
     std::string request_buffer_;
     AttemptKey key_;
     bool is_health_check_ = false;
-    bool connect_failed_locally_ = false;  // the latest connect
-    bool streaming_ = false;               // the response is streamed and has begun
-    bool awaiting_resume_ = false;         // a piece of the response is being forwarded
-    std::chrono::microseconds began_after_{
-        0};                        // time from the exchange's start to a streamed response's begin
-    Steady::time_point since_;     // start of the exchange or of idleness
+    bool connect_failed_locally_ = false;  // whether the last connect failed because of this machine
+    bool streaming_ = false;               // whether forwarding of a streamed response has begun
+    bool awaiting_resume_ = false;         // whether reading pauses while a piece is being forwarded
+    // Time from the start of the exchange until forwarding of a streamed response began.
+    std::chrono::microseconds time_to_stream_start_{0};
+    // Start of the exchange, or of the idle time if the connection is idle.
+    Steady::time_point phase_started_at_;
     Steady::time_point deadline_;  // of the exchange
     State state_ = State::fresh;
 };
--- a/src/server/host_manager.cpp
+++ b/src/server/host_manager.cpp
@@ -63,13 +63,13 @@
     : guard_(guard), dispatcher_(dispatcher), pool_(pool) {}
 
 void HostManager::on_endpoint_list(const EndpointList& list) {
-    if (!list.complete && list.endpoints.empty()) return;  // a watch that ended without a change
+    if (!list.complete && list.endpoints.empty()) return;  // a watch whose hold time ended without a change
     track(list);
     decision::HostsChanged event = to_event(list);
     guard_.hosts_changed(event);
     log_endpoint_list(list);
-    // The module sees the change before the attempts that the change ends; when it handles the event, the
-    // pool knows the hosts.
+    // Queues the event ahead of the results of the attempts that the pool ends, so that the decision module
+    // handles the change first. By the time the module handles it, the pool has applied the list.
     dispatcher_.dispatch_before(std::move(event), [&] { pool_.update(list); });
 }
 
@@ -80,11 +80,11 @@
         listed.insert(endpoint.uid);
         if (endpoint.state == EndpointState::ready) ready_hosts_.insert(endpoint.uid);
         else ready_hosts_.erase(endpoint.uid);
-        known_names_.listed(endpoint.uid);
-        if (endpoint.state == EndpointState::gone) known_names_.gone(endpoint.uid, Steady::now());
+        known_names_.add(endpoint.uid);
+        if (endpoint.state == EndpointState::gone) known_names_.mark_gone(endpoint.uid, Steady::now());
     }
-    if (list.complete) known_names_.only(listed, Steady::now());
-    known_names_.forget_old(Steady::now(), pool_.banned());
+    if (list.complete) known_names_.mark_unlisted_gone(listed, Steady::now());
+    known_names_.remove_expired(Steady::now(), pool_.banned());
 }
 
 void HostManager::on_health_check_ended(const std::string& uid, HostResult&& result) {
--- a/src/server/host_manager.h
+++ b/src/server/host_manager.h
@@ -1,4 +1,4 @@
-// What the gateway knows of its hosts: the endpoint list, operators' bans and health checks.
+// Applies endpoint lists, operators' bans and health check results.
 #pragma once
 
 #include <string>
@@ -12,19 +12,21 @@
 
 namespace gateway::server {
 
-// Applies changes of the hosts to the rule guard, the decision module and the host pool, in that order: the
-// module sees a change before the attempts that the change ends.
+// Applies changes of the hosts to the rule guard, the decision module and the host pool, in that order, so
+// that the decision module sees a change before the results of the attempts that the change ends.
 class HostManager {
   public:
-    // All must outlive the manager; `pool` need not be constructed yet.
+    // The arguments must outlive the manager. `pool` is only stored, so it need not be constructed yet.
     HostManager(decision::RuleGuard& guard, EventDispatcher& dispatcher, HostPool& pool);
 
     void on_endpoint_list(const EndpointList& list);
+    // Passes the result of a health check, and the load report in it, to the decision module.
     void on_health_check_ended(const std::string& uid, HostResult&& result);
-    // Operators take a host out of service, or put it back.
+    // Applies an operator's ban of a host, or lifts it.
     void set_banned(const std::string& uid, bool banned);
-    // Lets operators call for a host that no list of this process has named yet.
-    void add_known_name(const std::string& uid) { known_names_.listed(uid); }
+    // Adds the uid of a host that this process has not yet received in a list, so that admin calls can name
+    // it.
+    void add_known_name(const std::string& uid) { known_names_.add(uid); }
     [[nodiscard]] const KnownNames& known_names() const noexcept { return known_names_; }
     [[nodiscard]] bool has_ready_host() const noexcept { return !ready_hosts_.empty(); }
 
@@ -35,7 +37,7 @@
     EventDispatcher& dispatcher_;
     HostPool& pool_;
     std::unordered_set<std::string> ready_hosts_;  // by uid
-    KnownNames known_names_;                       // for operators' calls
+    KnownNames known_names_;                       // the hosts that admin calls can name
 };
 
 }  // namespace gateway::server
--- a/src/server/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -13,19 +13,21 @@
 using namespace std::chrono_literals;
 
 namespace {
-// An idle connection is closed this much before its host may close it, because a request written in between
-// would be lost.
+// An idle connection is closed this long before the host's own idle timeout, because a request that is
+// written while the host closes the connection would be lost.
 constexpr std::chrono::milliseconds idle_timeout_margin = 1s;
 constexpr std::chrono::milliseconds sweep_interval = 250ms;
 }  // namespace
 
 HostPool::HostPool(asio::io_context& io, SocketBudget& budget, std::chrono::microseconds connect_timeout,
-                   std::chrono::microseconds idle_limit, Callbacks callbacks, std::chrono::microseconds rest)
+                   std::chrono::microseconds host_idle_timeout, Callbacks callbacks,
+                   std::chrono::microseconds min_idle_time)
     : io_(io),
       budget_(budget),
       connect_timeout_(connect_timeout),
-      idle_timeout_(std::max<std::chrono::microseconds>(idle_limit - idle_timeout_margin, idle_limit / 2)),
-      min_idle_time_(rest),
+      idle_timeout_(std::max<std::chrono::microseconds>(host_idle_timeout - idle_timeout_margin,
+                                                        host_idle_timeout / 2)),
+      min_idle_time_(min_idle_time),
       callbacks_(std::move(callbacks)),
       sweep_timer_(io) {
     budget_.on_shortage(SocketBudget::Side::host, [this] { return evict_one_idle(); });
@@ -38,7 +40,7 @@
     for (const auto& connection : busy_connections_) connection->close(HostCloseReason::shutdown);
     for (const auto& [uid, host] : hosts_) {
         for (const auto& connection : host->idle_connections) connection->close(HostCloseReason::shutdown);
-        host->idle_connections.clear();  // breaks the cycle: a connection holds its host, which holds it
+        host->idle_connections.clear();  // breaks the cycle of shared pointers between host and connections
     }
 }
 
@@ -49,7 +51,7 @@
     hosts_with_idle_.insert(connection->host());
 }
 
-void HostPool::on_idle_lost(const ConnectionPointer& connection) {
+void HostPool::on_idle_closing(const ConnectionPointer& connection) {
     auto& idle = connection->host()->idle_connections;
     idle.erase(std::find(idle.begin(), idle.end(), connection));
 }
@@ -108,15 +110,15 @@
     if (banned) end_requests_to_unavailable_hosts();
 }
 
-// Guards against a request to a host that is known to drain: a pending connect would send its request
-// whenever it succeeds.
+// Closes idle connections to hosts that accept no requests, and ends the attempts at them whose request is
+// unsent. Otherwise a pending connect would send its request to a draining host when it succeeds.
 void HostPool::end_requests_to_unavailable_hosts() {
     for (const auto& host : hosts_with_idle_) close_unusable_idle(*host);
     end_unsent(HostOutcome::connect_failed,
                [](const HostConnection& connection) { return !connection.host()->accepts_requests(); });
 }
 
-// Closes those that can't be used again, because the host accepts no requests or has moved.
+// Closes the idle connections of a host that accepts no requests, or those to its earlier address.
 void HostPool::close_unusable_idle(PooledHost& host) {
     std::erase_if(host.idle_connections, [&host](const auto& connection) {
         const bool usable = host.accepts_requests() && connection->endpoint() == host.endpoint;
@@ -131,7 +133,8 @@
     });
 }
 
-// Collects the connections first, because the callbacks of one end may end others of them.
+// Ends the exchanges with an unsent request on the connections that fulfil the predicate. Collects these
+// connections first, because the callbacks of one exchange may end the exchange of another.
 template <class Predicate>
 void HostPool::end_unsent(HostOutcome outcome, Predicate predicate) {
     std::vector<ConnectionPointer> unsent;
@@ -140,8 +143,8 @@
     for (const auto& connection : unsent) connection->end_if_unsent(outcome);
 }
 
-// Returns an idle connection, else a new one. Returns none and sets `failure` where the host accepts no
-// requests or no socket is left.
+// Returns an idle connection to the host, or a new one if none is idle. Returns null and sets `failure` if
+// the host accepts no requests or the socket budget is exhausted.
 HostPool::ConnectionPointer HostPool::acquire(const std::string& uid, HostOutcome& failure) {
     failure = HostOutcome::connect_failed;
     const auto found = hosts_.find(uid);
@@ -154,10 +157,10 @@
     return connection;
 }
 
-// Returns the most recently used connection that has been idle for the minimum time, if there is one. The
-// minimum guards against a second response that comes some milliseconds after the first: if a request were
-// written at once, it would be taken for that request's response. Costs a connection or two more at a busy
-// host.
+// Returns the most recently used connection that has been idle for the minimum idle time, or null. A host may
+// send a second response to a request some milliseconds after the first. If the next request were written
+// immediately, the second response would be taken for the response to that request. The minimum idle time
+// costs one or two additional connections to a busy host.
 HostPool::ConnectionPointer HostPool::take_idle(PooledHost& host) {
     auto& idle = host.idle_connections;
     const auto idle_before = Steady::now() - min_idle_time_;
@@ -165,13 +168,13 @@
         if (!idle[position]->idle_since_before(idle_before)) continue;
         auto candidate = std::move(idle[position]);
         idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(position));
-        if (candidate->silent()) return candidate;
+        if (candidate->has_no_pending_input()) return candidate;
         candidate->close(HostCloseReason::closed_by_host);
     }
     return nullptr;
 }
 
-// Returns none where no socket is left.
+// Returns null if the socket budget is exhausted.
 HostPool::ConnectionPointer HostPool::make_connection(const std::shared_ptr<PooledHost>& host) {
     auto place = budget_.take(SocketBudget::Side::host);
     if (!place) return nullptr;
@@ -208,16 +211,17 @@
     if (const auto connection = connection_of(key)) connection->resume_reading();
 }
 
-void HostPool::hand_over(const Pass& pass) {
+void HostPool::hand_over(const PassSocket& pass_socket) {
     const auto now = Steady::now();
     for (const auto& host : hosts_with_idle_)
         for (const auto& connection : std::exchange(host->idle_connections, {})) {
-            if (!connection->silent()) {
+            if (!connection->has_no_pending_input()) {
                 connection->close(HostCloseReason::closed_by_host);
                 continue;
             }
-            pass(connection->release(), host->uid,
-                 std::chrono::duration_cast<std::chrono::microseconds>(now - connection->idle_since()));
+            pass_socket(
+                connection->release(), host->uid,
+                std::chrono::duration_cast<std::chrono::microseconds>(now - connection->idle_since()));
         }
 }
 
@@ -235,7 +239,7 @@
     idle.insert(more_recent, connection);
 }
 
-// Closes the connection that has been idle for longest. Returns false where none is idle.
+// Closes the connection that has been idle for the longest time. Returns false if none is idle.
 bool HostPool::evict_one_idle() {
     PooledHost* oldest = nullptr;
     for (const auto& host : hosts_with_idle_) {
@@ -251,7 +255,7 @@
     return true;
 }
 
-// Closes the connections whose idle timeout has passed, now and at each sweep.
+// Closes the connections whose idle timeout has passed, and schedules the next sweep.
 void HostPool::close_expired_idle() {
     const auto expired_before = Steady::now() - idle_timeout_;
     std::erase_if(hosts_with_idle_, [](const auto& host) { return host->idle_connections.empty(); });
--- a/src/server/host_pool.h
+++ b/src/server/host_pool.h
@@ -1,4 +1,4 @@
-// The pool of connections to the hosts, and the attempts and health checks on them.
+// The pool of connections to the hosts, which carry attempts and health checks.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -28,54 +28,58 @@
     using AttemptKey = server::AttemptKey;
 
     struct Callbacks {
-        // The results. Each is called once for each attempt and health check, at times before `attempt` or
-        // `probe` has returned.
+        // Called exactly once with the result of each attempt, possibly before `attempt` returns.
         std::function<void(const AttemptKey&, const std::string& uid, HostResult&&)> on_attempt;
+        // Called exactly once with the result of each health check, possibly before `probe` returns.
         std::function<void(const std::string& uid, HostResult&&)> on_probe;
-        // A successful response that is streamed has begun, and a further piece of it has come; the last
-        // piece comes with `on_attempt`. After each the host is read on when `resume_reading` is called.
-        // `on_response_started` returns false to have the attempt cancelled, because nobody waits for the
-        // response any more. Without `on_response_started` no response is streamed.
+        // Called with the header and the first part of the body of a successful response that is streamed.
+        // Reading from the host pauses until `resume_reading` is called. Returns false to cancel the attempt,
+        // if no client waits for the response any more. If this callback is not set, no response is streamed.
         std::function<bool(const AttemptKey&, const std::string& uid, HostResult&&)> on_response_started = {};
+        // Called with a further piece of a streamed response; the last piece is part of the result that
+        // `on_attempt` receives. Reading pauses again until `resume_reading` is called.
         std::function<void(const AttemptKey&, std::string&& piece)> on_piece = {};
-        // A connection was closed.
-        std::function<void(HostCloseReason cause)> on_closed = {};
+        // Called when a connection is closed or handed over.
+        std::function<void(HostCloseReason reason)> on_closed = {};
     };
 
-    // `idle_limit`: the hosts close idle connections after this. `rest`: for how long a connection is idle at
-    // least before it is used again.
+    // `host_idle_timeout`: the time after which hosts close idle connections. `min_idle_time`: the time that
+    // a connection stays idle before it is reused.
     HostPool(boost::asio::io_context& io, SocketBudget& budget, std::chrono::microseconds connect_timeout,
-             std::chrono::microseconds idle_limit, Callbacks callbacks,
-             std::chrono::microseconds rest = std::chrono::milliseconds(10));
+             std::chrono::microseconds host_idle_timeout, Callbacks callbacks,
+             std::chrono::microseconds min_idle_time = std::chrono::milliseconds(10));
     ~HostPool();
     HostPool(const HostPool&) = delete;
     HostPool& operator=(const HostPool&) = delete;
 
-    // Applies the list. Attempts at a host that drains or is gone end if their request is unsent.
+    // Applies an endpoint list. Ends the attempts at hosts that are draining or gone if their request is
+    // unsent.
     void update(const EndpointList& list);
-    // The same for a host that operators ban, until they lift the ban: the list does not lift it.
+    // Bans a host or lifts its ban, as operators request. Ends the attempts at a banned host if their request
+    // is unsent. Endpoint lists do not lift a ban.
     void ban(const std::string& uid, bool banned);
-    // Sends the request to the host.
+    // Sends the request to the host. The attempt times out after `within`.
     void attempt(const AttemptKey& key, const std::string& uid, Request& message,
                  std::chrono::microseconds within);
-    // Ends the attempt with the outcome `cancelled`. Does nothing if it is not in flight.
+    // Ends the attempt with the outcome `cancelled`. Does nothing if the attempt is not in flight.
     void cancel(const AttemptKey& key);
-    // Ends those attempts of the request that are unsent.
+    // Ends the attempts of the request that are unsent, with the outcome `withdrawn`.
     void cancel_unsent(std::uint64_t request);
-    // Reads on from the host of a streamed response.
+    // Continues to read a streamed response after a piece of it has been forwarded.
     void resume_reading(const AttemptKey& key);
     // Sends a health check to the host.
     void probe(const std::string& uid);
 
-    // Takes an idle connection for another process.
-    using Pass =
+    // Passes the socket of an idle connection to another process.
+    using PassSocket =
         std::function<void(Descriptor&&, const std::string& uid, std::chrono::microseconds idle_for)>;
-    // Hands all idle connections over to another process.
-    void hand_over(const Pass& pass);
-    // Takes over an idle connection of another process, or closes it if it can't be used.
+    // Hands all idle connections over to another process. Closes those that can't be reused.
+    void hand_over(const PassSocket& pass_socket);
+    // Takes over an idle connection of another process. Closes it if its host accepts no requests or the
+    // connection can't be used.
     void adopt(Descriptor&& socket, const std::string& uid, std::chrono::microseconds idle_for);
 
-    // How many connections have an exchange in flight.
+    // The number of connections with an exchange in flight.
     [[nodiscard]] std::size_t busy() const { return busy_connections_.size(); }
     // The uids of the hosts that operators have banned.
     [[nodiscard]] const std::unordered_set<std::string>& banned() const { return banned_; }
@@ -85,7 +89,7 @@
 
     void on_exchange_ended(const ConnectionPointer& connection) override;
     void on_idle(const ConnectionPointer& connection) override;
-    void on_idle_lost(const ConnectionPointer& connection) override;
+    void on_idle_closing(const ConnectionPointer& connection) override;
     void on_closed(HostCloseReason reason, const std::string& uid) override;
     void on_attempt_result(const AttemptKey& key, const std::string& uid, HostResult&& result) override;
     void on_health_check_result(const std::string& uid, HostResult&& result) override;
@@ -108,11 +112,11 @@
     SocketBudget& budget_;
     const std::chrono::microseconds connect_timeout_;
     const std::chrono::microseconds idle_timeout_;
-    const std::chrono::microseconds min_idle_time_;  // of a connection between two exchanges
+    const std::chrono::microseconds min_idle_time_;  // between two exchanges on a connection
     Callbacks callbacks_;
     std::unordered_map<std::string, std::shared_ptr<PooledHost>> hosts_;  // by uid
-    // All hosts with idle connections, and some that no longer have one. Holds hosts that have left the list
-    // until their idle connections are closed.
+    // Contains each host with idle connections, even if the host has left the list. Hosts without idle
+    // connections are removed at the next sweep.
     std::unordered_set<std::shared_ptr<PooledHost>> hosts_with_idle_;
     std::unordered_set<ConnectionPointer> busy_connections_;
     std::unordered_set<std::string> banned_;
--- a/src/server/host_response_reader.cpp
+++ b/src/server/host_response_reader.cpp
@@ -6,7 +6,7 @@
 namespace {
 constexpr std::size_t read_bytes = 4096;
 constexpr std::size_t streaming_read_bytes = 32 * 1024;
-// A host that sends more interim responses (1xx) than this never comes to the final one.
+// A response with more interim responses (1xx) than this before the final one is treated as malformed.
 constexpr int max_interim_responses = 8;
 }  // namespace
 
@@ -20,7 +20,7 @@
 
 void HostResponseReader::reset_parser() {
     parser_.emplace();
-    parser_->eager(false);  // the header is checked before space for a body is allocated
+    parser_->eager(false);  // stops after the header, to check it before space for a body is allocated
     parser_->header_limit(max_header_bytes);
     parser_->body_limit(max_streamed_body_bytes);
     parser_->skip(without_body_);
@@ -48,9 +48,9 @@
         if (ec) return Progress::malformed;
         const bool header_done = parser_->is_header_done();
         const bool interim = header_done && parser_->get().result_int() / 100 == 1;
-        // With an ambiguous length nothing tells whether a body is complete, or whose the bytes behind it
-        // are.
-        if (in_header && header_done && !interim && !has_safe_length()) return Progress::malformed;
+        // If the length is ambiguous, it is unknown whether a body is complete and to which response the
+        // bytes after it belong.
+        if (in_header && header_done && !interim && !has_valid_length()) return Progress::malformed;
         parser_->eager(header_done);
         if (parser_->is_done()) {
             if (!interim) return Progress::complete;
@@ -62,12 +62,12 @@
     return Progress::incomplete;
 }
 
-bool HostResponseReader::has_safe_length() const {
+bool HostResponseReader::has_valid_length() const {
     return length_within_limit(*parser_) && has_unambiguous_length(parser_->get().base());
 }
 
 bool HostResponseReader::skip_interim() {
-    // After 101 another protocol would follow, which the gateway never asks for.
+    // Status 101 announces a switch to another protocol, which the gateway never requests.
     if (parser_->get().result() == http::status::switching_protocols) return false;
     if (++interim_responses_ > max_interim_responses) return false;
     reset_parser();
--- a/src/server/host_response_reader.h
+++ b/src/server/host_response_reader.h
@@ -1,4 +1,4 @@
-// Parses the responses that arrive on a connection to a host.
+// The parser for the responses on a connection to a host.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -11,65 +11,68 @@
 
 namespace gateway::server {
 
-// Buffers the bytes of one connection and parses them as responses, one at a time. Performs no I/O: its owner
-// reads into `prepare` and reports what came with `commit`.
+// Buffers the bytes of one connection and parses them as responses, one at a time. Performs no I/O: the owner
+// reads into the buffer that `prepare` returns and calls `commit` with the number of bytes read.
 class HostResponseReader {
   public:
     enum class Progress {
-        incomplete,  // more bytes are needed
-        complete,    // the response can be released
-        malformed,   // the bytes can't be the expected response
+        incomplete,  // the response needs more bytes
+        complete,    // the response is complete and can be released
+        malformed,   // the bytes are not a valid response
     };
 
     HostResponseReader();
 
-    // Starts the next response. `without_body`: it has no body whatever its Content-Length says, because it
-    // responds to a HEAD request.
+    // Starts to parse the next response. `without_body`: the response has no body, whatever its
+    // Content-Length is, because it answers a HEAD request.
     void start(bool without_body);
-    // Ends the response; bytes that are still buffered stay.
+    // Discards the parser of the current response. Bytes that it has not parsed stay in the buffer.
     void stop() { parser_.reset(); }
-    // Whether a response is expected or being parsed.
+    // Whether a response is awaited or being parsed.
     [[nodiscard]] bool active() const { return parser_.has_value(); }
 
-    // Space for one read. The read is larger once a response is streamed.
+    // Returns buffer space for one read, which is larger while a response is streamed.
     [[nodiscard]] boost::asio::mutable_buffer prepare(bool streaming);
+    // Adds the first `bytes` bytes of the prepared space to the buffer.
     void commit(std::size_t bytes) { buffer_.commit(bytes); }
-    // Whether there is space for a further read. Without it the parser waits for the end of a line that has
-    // none, because no header limit holds for lines inside a chunked body.
+    // Whether the buffer has space for a further read. If it has none, the parser is waiting for the end of
+    // an endless line: the header limit does not apply to lines inside a chunked body.
     [[nodiscard]] bool has_space() const;
-    // Bytes that belong to no response yet.
+    // The number of bytes that have not been parsed as part of a response.
     [[nodiscard]] std::size_t buffered_bytes() const { return buffer_.size(); }
-    // Releases the memory that a large response needed.
+    // Releases the buffer space of a large response.
     void shrink();
 
-    // Parses what is buffered. Interim responses (1xx) are skipped, up to a limit.
+    // Parses the buffered bytes. Interim responses (1xx) are skipped, up to a limit.
     [[nodiscard]] Progress parse();
-    // Handles the end of the connection. Returns whether it completes the response, as it does for one
-    // without a length.
+    // Handles the end of the stream. Returns whether the response is complete, which is the case for a
+    // response whose header gives no length.
     [[nodiscard]] bool finish_at_end_of_stream();
 
     [[nodiscard]] bool header_complete() const { return parser_->is_header_done(); }
-    // Requires that the header is complete.
+    // The header of the response. Requires that it is complete.
     [[nodiscard]] const http::response_header<>& header() const { return parser_->get().base(); }
-    // The part of the body that has been parsed and not been taken.
+    // The part of the body that has been parsed and not yet moved out.
     [[nodiscard]] std::string& body() { return parser_->get().body(); }
-    // Whether the body is longer than is held in memory, as far as is known by now.
+    // Whether the body is known to exceed `max_buffered_body_bytes`, by its parsed part or its
+    // Content-Length.
     [[nodiscard]] bool exceeds_buffered_body();
-    // Moves the response out. Requires that it is complete.
+    // Returns the response. Requires that it is complete.
     [[nodiscard]] http::response<StreamedBody> release() { return parser_->release(); }
 
   private:
     using Parser = http::response_parser<StreamedBody>;
 
     void reset_parser();
-    [[nodiscard]] bool has_safe_length() const;
-    // Returns false where the final response can't be expected any more.
+    // Whether the length of the body is unambiguous and within the limit.
+    [[nodiscard]] bool has_valid_length() const;
+    // Returns false if the final response can't follow: after 101, or beyond the limit of interim responses.
     [[nodiscard]] bool skip_interim();
 
     boost::beast::flat_buffer buffer_;
     std::optional<Parser> parser_;
     bool without_body_ = false;
-    int interim_responses_ = 0;  // before the current response
+    int interim_responses_ = 0;  // number of interim responses before the final response
 };
 
 }  // namespace gateway::server
--- a/src/server/host_result.h
+++ b/src/server/host_result.h
@@ -1,4 +1,4 @@
-// Attempts at hosts and their results, as the host pool and its connections exchange them.
+// Identifies attempts and reports the results of attempts and health checks.
 #pragma once
 
 #include <chrono>
@@ -21,9 +21,13 @@
 // The result of an attempt or a health check.
 struct HostResult {
     HostOutcome outcome = HostOutcome::error;
-    std::chrono::microseconds elapsed{0};  // until the response was complete, or until a streamed one began
-    Answer answer;                         // complete after success; of a streamed response, the last piece
-    std::string load_report;               // the host's load report header, verbatim; empty: none
+    // Time from the start of the exchange to its end, or to the start of a streamed response.
+    std::chrono::microseconds elapsed{0};
+    // The complete response; for a streamed response, its header and the last piece of its body. Empty if the
+    // exchange ended without a response.
+    Answer answer;
+    // The value of the response's load report header, unparsed; empty if the response has none.
+    std::string load_report;
 };
 
 }  // namespace gateway::server
--- a/src/server/load_report.cpp
+++ b/src/server/load_report.cpp
@@ -5,8 +5,8 @@
 
 namespace gateway::server {
 namespace {
-// Upper bound of a plausible value. A report beyond it, or a negative one, is an error of the host and would
-// distort host selection for as long as it is believed.
+// The largest plausible value of a field. A larger or a negative value is a fault of the host, and would
+// distort host selection for as long as the report is in use.
 constexpr double max_reported_value = 1e5;
 }  // namespace
 
@@ -24,8 +24,8 @@
         const std::string_view number = field.substr(equals + 1);
         const auto parsed = std::from_chars(number.data(), number.data() + number.size(), value);
         if (parsed.ec != std::errc() || !(value >= 0 && value <= max_reported_value)) continue;
-        // Both the names of the settings, which the simulator also uses, and those of the protocol's example
-        // are accepted, because a host whose queue is not read looks idle.
+        // Accepts both the names in the settings, which the simulator uses too, and the names in the example
+        // of the protocol. If the queue length of a host were not recognised, the host would look idle.
         if (name == "backlog" || name == "queue") report.queued = value;
         else if (name == "outstanding" || name == "inflight") report.outstanding = value;
         else if (name == "utilization" || name == "util") report.utilization = value;
--- a/src/server/load_report.h
+++ b/src/server/load_report.h
@@ -1,4 +1,4 @@
-// The load reports that hosts attach to their answers and health checks.
+// The parser for the load reports in hosts' responses to requests and health checks.
 #pragma once
 
 #include <string_view>
@@ -7,8 +7,9 @@
 
 namespace gateway::server {
 
-// Parses "TEXT outstanding=7, backlog=2, utilization=0.61". Unknown or unreadable fields are skipped and stay
-// "not reported", because a host's malformed report must not fail the answer that carries it.
+// Parses a load report such as "TEXT outstanding=7, backlog=2, utilization=0.61". Skips unknown and malformed
+// fields, which keep the value for "not reported", because a malformed report must not fail the response that
+// carries it.
 [[nodiscard]] decision::LoadReport read_load_report(std::string_view text);
 
 }  // namespace gateway::server
--- a/src/server/log.cpp
+++ b/src/server/log.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::string_view default_level = "info";
 constexpr std::array<std::string_view, 5> level_names{"debug", "info", "warning", "error", "off"};
-// Bounds the rate and the burst of lines, because serving requests matters more than the log.
+// Limits both the rate and the burst of log lines, because serving requests has priority over the log.
 constexpr double max_lines_per_second = 1000;
 
 spdlog::level::level_enum level_of(LogLevel level) {
@@ -34,9 +34,10 @@
     return spdlog::level::off;
 }
 
-// A token bucket of log lines.
+// A token bucket that limits the log lines and counts those that were dropped.
 class LineBudget {
   public:
+    // Returns whether a line may be written. If not, counts it as dropped.
     bool take() {
         const auto now = Steady::now();
         const double refill =
@@ -50,6 +51,7 @@
         tokens_ -= 1;
         return true;
     }
+    // Returns the number of lines dropped since the last call.
     std::int64_t take_dropped() { return std::exchange(dropped_, 0); }
 
   private:
@@ -58,9 +60,10 @@
     std::int64_t dropped_ = 0;
 };
 
+// The logger of the process, which writes to standard error, and its line budget.
 struct Log {
     Log() : logger("api_gateway", std::make_shared<spdlog::sinks::stderr_sink_st>()) {
-        // Each line also has the monotonic time, because the wall clock may be stepped.
+        // LogLine adds the monotonic time to each line, because the wall clock may be stepped.
         logger.set_pattern("%Y-%m-%dT%H:%M:%S.%eZ level=%l %v", spdlog::pattern_time_type::utc);
         logger.set_level(spdlog::level::info);
     }
@@ -68,11 +71,12 @@
     LineBudget budget;
 };
 
-Log& the_log() {
+Log& process_log() {
     static Log log;
     return log;
 }
 
+// Whether the text has to be quoted to be parsed as one value.
 bool needs_quotes(std::string_view text) {
     return text.empty() || std::any_of(text.begin(), text.end(), [](char character) {
                return character <= ' ' || character == '"' || character == '=';
@@ -84,9 +88,9 @@
     const auto* const found =
         std::find(level_names.begin(), level_names.end(), name != nullptr ? name : default_level);
     if (found == level_names.end()) return;
-    the_log().logger.set_level(level_of(static_cast<LogLevel>(found - level_names.begin())));
+    process_log().logger.set_level(level_of(static_cast<LogLevel>(found - level_names.begin())));
 }
-bool logs(LogLevel level) { return the_log().logger.should_log(level_of(level)); }
+bool logs(LogLevel level) { return process_log().logger.should_log(level_of(level)); }
 
 LogLine::LogLine(LogLevel level, std::string_view event) : level_(level), enabled_(logs(level)) {
     if (!enabled_) return;
@@ -94,7 +98,7 @@
     with("event", event);
 }
 LogLine::~LogLine() {
-    Log& log = the_log();
+    Log& log = process_log();
     if (!enabled_ || !log.budget.take()) return;
     if (const std::int64_t dropped = log.budget.take_dropped(); dropped > 0) with("lines_dropped", dropped);
     log.logger.log(level_of(level_), spdlog::string_view_t(text_.data(), text_.size()));
--- a/src/server/metrics.cpp
+++ b/src/server/metrics.cpp
@@ -16,6 +16,7 @@
     text.append(name).append("{").append(label).append("=\"").append(value).append("\"} ");
     text.append(std::to_string(count)).append("\n");
 }
+// Appends a metric with one sample for each label value in `counts`.
 template <class Counts>
 void add_family(std::string& text, std::string_view name, std::string_view label, const Counts& counts) {
     add_type(text, name);
--- a/src/server/metrics.h
+++ b/src/server/metrics.h
@@ -12,24 +12,24 @@
 
 namespace gateway::server {
 
-// Counts events by their outcome or reason. The names of the metrics are part of the operators' interface.
+// Counts events by outcome, reason or status. The metric names are part of the interface to operators.
 class Metrics {
   public:
     void request_received() { ++requests_; }
-    // An invalid request, which the decision module does not see.
+    // Counts an invalid request, which is not passed to the decision module.
     void request_invalid() { ++invalid_requests_; }
-    // `status`: of the final answer to a valid request.
+    // Counts the final answer to a valid request, by its status.
     void answered(unsigned status) { ++answers_[status]; }
-    // The decision module rejects a request that was not executed, or that is harmless to execute again.
+    // Counts a request that the decision module rejected: it was not executed, or is safe to execute again.
     void request_shed(decision::RejectionReason reason) { ++rejections_[decision::to_string(reason)]; }
-    // The decision module gives up a request that may have been executed.
+    // Counts a request that the decision module failed: it may have been executed.
     void request_failed(decision::RejectionReason reason) { ++failures_[decision::to_string(reason)]; }
     void attempt_begun(decision::AttemptReason reason) { ++attempts_begun_[decision::to_string(reason)]; }
     void attempt_ended(HostOutcome outcome) { ++attempts_ended_[to_string(outcome)]; }
     void client_closed(ClientCloseReason reason) { ++client_closes_[to_string(reason)]; }
     void host_closed(HostCloseReason reason) { ++host_closes_[to_string(reason)]; }
 
-    // In the text format of Prometheus.
+    // Returns all counters in the Prometheus text format.
     [[nodiscard]] std::string text(const decision::RuleGuard::Violations& violations) const;
 
   private:
--- a/src/server/peer_link.cpp
+++ b/src/server/peer_link.cpp
@@ -6,8 +6,8 @@
 
 namespace gateway::server {
 namespace {
-// Returns a socket that is bound to the address. Another process may bind the address as well, as a successor
-// does that gets no answer from this process.
+// Returns a socket that is bound to the address. Sets SO_REUSEPORT, because during an upgrade the successor
+// binds the same address if this process does not answer it.
 int bind_socket(const PeerLink::Endpoint& listen) {
     boost::asio::io_context io;
     boost::asio::ip::udp::socket socket(io, listen.protocol());
@@ -55,20 +55,21 @@
         if (rank != own_rank_) send_to(peers_[static_cast<std::size_t>(rank)], bytes);
 }
 
-// A datagram that the kernel can't take now is lost, as any datagram may be.
+// Sends a datagram. A datagram that the kernel can't accept now is lost, as any datagram may be.
 void PeerLink::send_to(const Endpoint& address, std::string_view bytes) {
     error_code ignored;
     socket_.send_to(boost::asio::buffer(bytes.data(), bytes.size()), address, 0, ignored);
 }
 
 void PeerLink::receive() {
-    // Waits first and reads then, so that no datagram is taken off a socket that is handed over meanwhile.
+    // Waits until the socket is readable and then reads synchronously, so that no datagram is read from a
+    // socket that was handed over to another process in the meantime.
     socket_.async_wait(boost::asio::ip::udp::socket::wait_read, [this](error_code ec) {
         if (ec == boost::asio::error::operation_aborted || !listening_) return;
         std::size_t size = 0;
         if (!ec) size = socket_.receive_from(boost::asio::buffer(buffer_), sender_, 0, ec);
-        // An error belongs to an earlier datagram that found no receiver. Datagrams of unknown senders and
-        // those that are too long are dropped.
+        // An error reports that an earlier datagram could not be delivered, and is ignored. Datagrams from
+        // unknown senders and datagrams that are too long are dropped.
         if (!ec && size <= max_message_bytes) {
             const auto from = rank_by_address_.find(sender_);
             if (from != rank_by_address_.end() && from->second != own_rank_)
--- a/src/server/peer_link.h
+++ b/src/server/peer_link.h
@@ -1,4 +1,4 @@
-// Peer messages: datagrams between the gateways of the fleet.
+// Sends and receives peer messages, the datagrams between the gateways of the fleet.
 #pragma once
 
 #include <array>
@@ -13,26 +13,27 @@
 
 namespace gateway::server {
 
-// Sends and receives peer messages. Delivery is not guaranteed; messages of unknown senders are dropped.
+// The UDP socket for peer messages. Delivery is not guaranteed. Messages from unknown senders are dropped.
 class PeerLink {
   public:
     using Endpoint = boost::asio::ip::udp::endpoint;
-    // `from`: the sender's rank. `bytes` is valid during the call only.
+    // `from`: the sender's rank. `bytes`: the message, valid only during the call.
     using OnMessage = std::function<void(int from, std::string_view bytes)>;
 
-    // `peers`: by rank, including this gateway. `all_peers`: an address that reaches every peer; none: a
-    // message to all is sent to each of them. Throws boost::system::system_error if the address can't be
-    // bound.
+    // `peers`: the addresses of all gateways by rank, including this one. `all_peers`: an address that
+    // reaches every peer; without it, a message to all peers is sent to each of them. Throws
+    // boost::system::system_error if `listen` can't be bound.
     PeerLink(boost::asio::io_context& io, const Endpoint& listen, std::vector<Endpoint> peers,
              std::optional<Endpoint> all_peers, int own_rank, OnMessage on_message);
-    // The same on a bound socket, of which it takes the ownership.
+    // The same with a socket that is already bound. Takes ownership of the socket.
     PeerLink(boost::asio::io_context& io, const Endpoint& listen, int socket, std::vector<Endpoint> peers,
              std::optional<Endpoint> all_peers, int own_rank, OnMessage on_message);
-    // Starts or stops to receive. Messages that arrive meanwhile stay in the socket, for another process that
-    // shares it.
+    // Starts or stops receiving. While receiving is stopped, messages stay in the socket's buffer, where
+    // another process that shares the socket can read them.
     void listen(bool enabled);
     [[nodiscard]] int native_handle() { return socket_.native_handle(); }
-    // Sends to one peer by rank, or below 0 to all. A message of more than 256 bytes is dropped.
+    // Sends a message to the peer with the rank `to`, or to all peers if `to` is below 0. Drops messages of
+    // more than 256 bytes.
     void send(int to, std::string_view bytes);
     [[nodiscard]] Endpoint local_endpoint() const { return socket_.local_endpoint(); }
 
@@ -49,8 +50,8 @@
     std::optional<Endpoint> all_peers_;
     int own_rank_;
     OnMessage on_message_;
-    Endpoint sender_;  // of the message in the buffer
-    // One byte longer than a message may be, to recognise those that are too long.
+    Endpoint sender_;  // sender of the message in the buffer
+    // One byte longer than the longest message, so that longer messages are detected.
     std::array<char, max_message_bytes + 1> buffer_{};
 };
 
--- a/src/server/socket_write.h
+++ b/src/server/socket_write.h
@@ -14,12 +14,13 @@
     return ec == boost::asio::error::would_block || ec == boost::asio::error::try_again;
 }
 
-// Writes as much of `bytes` as the socket accepts now and returns how many bytes that was. Sets `ec` where
-// the connection is broken, not where the socket's buffer is full. The socket has to be in non-blocking mode.
+// Writes as much of `bytes` as the socket accepts without blocking and returns the number of bytes written.
+// Sets `ec` if the connection has failed, but not if the socket's buffer is full. Requires a socket in
+// non-blocking mode.
 //
-// Writes until everything is written or the system reports that it would block, because a short write does
-// not mean that the buffer is full: the system may accept a part for other reasons, and an edge-triggered
-// wait for space would then never end.
+// Continues after a short write until everything is written or the system reports that it would block. A
+// short write does not mean that the buffer is full: the system may accept only a part for other reasons, and
+// an edge-triggered wait for space would then never complete.
 template <class Socket>
 std::size_t write_available(Socket& socket, std::string_view bytes, boost::system::error_code& ec) {
     std::size_t written = 0;
--- a/tests/server/known_names_test.cpp
+++ b/tests/server/known_names_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the retention of host names.
 #include "known_names.h"
 
 #include <gtest/gtest.h>
@@ -6,26 +7,26 @@
 namespace {
 using namespace std::chrono_literals;
 
-// 55,000 hosts replaced a day would end in the memory limit.
-TEST(KnownNames, AreForgottenSomeTimeAfterTheirHostsAreGone) {
-    const auto to_string = [](int host) { return std::string("h").append(std::to_string(host)); };
+// If no name were removed, a fleet that replaces 55,000 hosts a day would reach the memory limit.
+TEST(KnownNames, NamesAreRemovedAfterTheRetentionTimeUnlessBanned) {
+    const auto name_of = [](int host) { return std::string("h").append(std::to_string(host)); };
     KnownNames names(10min);
     Steady::time_point now{};
-    std::size_t most = 0;
+    std::size_t max_size = 0;
     for (int host = 0; host < 10000; ++host, now += 1s) {
-        names.listed(to_string(host));
-        if (host > 0) names.gone(to_string(host - 1), now);
-        names.forget_old(now, {"h7"});
-        most = std::max(most, names.size());
+        names.add(name_of(host));
+        if (host > 0) names.mark_gone(name_of(host - 1), now);
+        names.remove_expired(now, {"h7"});
+        max_size = std::max(max_size, names.size());
     }
-    EXPECT_LE(most, 602u);
+    EXPECT_LE(max_size, 602u);
     EXPECT_TRUE(names.contains("h9999"));
     EXPECT_TRUE(names.contains("h9900"));
     EXPECT_FALSE(names.contains("h100"));
-    EXPECT_TRUE(names.contains("h7")) << "banned";
-    names.only({"h3"}, now);
-    names.listed("h3");
-    names.forget_old(now + 10min, {});
+    EXPECT_TRUE(names.contains("h7")) << "the name of a banned host was removed";
+    names.mark_unlisted_gone({"h3"}, now);
+    names.add("h3");
+    names.remove_expired(now + 10min, {});
     EXPECT_EQ(names.all(), std::vector<std::string>{"h3"});
 }
 
