--- a/tests/server/admin_server_test.cpp
+++ b/tests/server/admin_server_test.cpp
@@ -1,4 +1,4 @@
-// The admin server by itself: calls in every form, and callers that say nothing.
+// Tests of the admin server alone: valid and invalid requests, and callers that send no complete request.
 #include "admin_server.h"
 
 #include "loopback.h"
@@ -13,7 +13,8 @@
                           calls.push_back(call);
                           return call.host == "unknown" ? http::status::not_found : http::status::ok;
                       }};
-    unsigned said(const std::string& text) {
+    // Sends the text on a new connection and returns the status of the answer, or 0 if there is none.
+    unsigned status_of(const std::string& text) {
         Client caller(io, admin.local_endpoint());
         caller.say(text);
         EXPECT_TRUE(run_until(io, [&] { return caller.ended(); })) << text;
@@ -25,14 +26,14 @@
     }
 };
 
-TEST_F(AdminServerTest, HearsEachCallAndEndsItsConnection) {
-    EXPECT_EQ(said("GET /status HTTP/1.1\r\nHost: x\r\n\r\n"), 200u);
-    EXPECT_EQ(said(post("/maintenance/enter", "s-1")), 200u);
-    EXPECT_EQ(said("POST /maintenance/exit HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
-                   "2\r\ns-\r\n2\r\n1\n\r\n0\r\n\r\n"),
+TEST_F(AdminServerTest, ExecutesEachCallAndClosesItsConnection) {
+    EXPECT_EQ(status_of("GET /status HTTP/1.1\r\nHost: x\r\n\r\n"), 200u);
+    EXPECT_EQ(status_of(post("/maintenance/enter", "s-1")), 200u);
+    EXPECT_EQ(status_of("POST /maintenance/exit HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
+                        "2\r\ns-\r\n2\r\n1\n\r\n0\r\n\r\n"),
               200u);
-    EXPECT_EQ(said(post("/standby")), 200u);
-    EXPECT_EQ(said(post("/active")), 200u);
+    EXPECT_EQ(status_of(post("/standby")), 200u);
+    EXPECT_EQ(status_of(post("/active")), 200u);
     ASSERT_EQ(calls.size(), 5u);
     EXPECT_EQ(calls[1].kind, AdminCall::Kind::ban);
     EXPECT_EQ(calls[1].host, "s-1");
@@ -42,32 +43,32 @@
     EXPECT_EQ(calls[4].kind, AdminCall::Kind::leave_standby);
 }
 
-TEST_F(AdminServerTest, SaysNoToWhatIsNoCall) {
-    EXPECT_EQ(said("GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n"), 404u);
-    EXPECT_EQ(said("GET /standby HTTP/1.1\r\nHost: x\r\n\r\n"), 405u);
-    EXPECT_EQ(said(post("/status")), 405u);
-    EXPECT_EQ(said(post("/maintenance/enter")), 400u);
-    EXPECT_EQ(said("nonsense\r\n\r\n"), 400u);
-    EXPECT_EQ(said(post("/maintenance/enter", std::string(5000, 'x'))), 413u);
+TEST_F(AdminServerTest, RejectsRequestsThatAreNoValidCall) {
+    EXPECT_EQ(status_of("GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n"), 404u);
+    EXPECT_EQ(status_of("GET /standby HTTP/1.1\r\nHost: x\r\n\r\n"), 405u);
+    EXPECT_EQ(status_of(post("/status")), 405u);
+    EXPECT_EQ(status_of(post("/maintenance/enter")), 400u);
+    EXPECT_EQ(status_of("nonsense\r\n\r\n"), 400u);
+    EXPECT_EQ(status_of(post("/maintenance/enter", std::string(5000, 'x'))), 413u);
     EXPECT_TRUE(calls.empty());
-    EXPECT_EQ(said(post("/maintenance/enter", "unknown")), 404u);
+    EXPECT_EQ(status_of(post("/maintenance/enter", "unknown")), 404u);
 }
 
-TEST_F(AdminServerTest, AnswersWithinASecondWhileOthersSayNothingOrHalf) {
+TEST_F(AdminServerTest, AnswersWithinASecondDespiteSilentAndIncompleteRequests) {
     std::vector<std::unique_ptr<Client>> silent;
     for (int i = 0; i < 40; ++i) {
         silent.push_back(std::make_unique<Client>(io, admin.local_endpoint()));
         if (i % 2)
             silent.back()->say("POST /maintenance/enter HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\ns-");
     }
-    const auto before = std::chrono::steady_clock::now();
-    EXPECT_EQ(said(post("/standby")), 200u);
-    EXPECT_LT(std::chrono::steady_clock::now() - before, 500ms);
+    const auto start = std::chrono::steady_clock::now();
+    EXPECT_EQ(status_of(post("/standby")), 200u);
+    EXPECT_LT(std::chrono::steady_clock::now() - start, 500ms);
     EXPECT_EQ(calls.size(), 1u);
-    // A half call gets a no in time.
+    // An incomplete request is answered with status 408 in time.
     EXPECT_TRUE(run_until(io, [&] { return silent[39]->ended(); }));
     EXPECT_EQ(silent[39]->answers().at(0).result_int(), 408u);
-    EXPECT_LT(std::chrono::steady_clock::now() - before, 1s);
+    EXPECT_LT(std::chrono::steady_clock::now() - start, 1s);
 }
 
 }  // namespace
--- a/tests/server/bind_retry_test.cpp
+++ b/tests/server/bind_retry_test.cpp
@@ -1,3 +1,4 @@
+// Tests of binding with retries.
 #include "bind_retry.h"
 
 #include <gtest/gtest.h>
@@ -9,24 +10,24 @@
 namespace {
 using boost::system::system_error;
 
-TEST(BindRetry, RetriesThroughATransientShortage) {
-    int calls = 0;
-    const int bound = bind_with_retry("listen", [&] {
-        if (++calls < 3) throw system_error(boost::asio::error::no_descriptors);
+TEST(BindRetry, RetriesDuringATransientShortage) {
+    int bind_calls = 0;
+    const int result = bind_with_retry("listen", [&] {
+        if (++bind_calls < 3) throw system_error(boost::asio::error::no_descriptors);
         return 7;
     });
-    EXPECT_EQ(bound, 7);
-    EXPECT_EQ(calls, 3);
+    EXPECT_EQ(result, 7);
+    EXPECT_EQ(bind_calls, 3);
 }
 
-TEST(BindRetry, NamesTheKeyOfAnAddressThatCannotBeBound) {
-    int calls = 0;
-    const auto fail = [&]() -> int {
-        ++calls;
+TEST(BindRetry, TheErrorNamesTheKeyOfAnAddressThatCannotBeBound) {
+    int bind_calls = 0;
+    const auto bind_socket = [&]() -> int {
+        ++bind_calls;
         throw system_error(boost::asio::error::address_in_use);
     };
     try {
-        static_cast<void>(bind_with_retry("mgmt", fail));
+        static_cast<void>(bind_with_retry("mgmt", bind_socket));
         FAIL() << "expected a ConfigError";
     } catch (const ConfigError& error) {
         EXPECT_EQ(
@@ -34,7 +35,7 @@
             0u)
             << error.what();
     }
-    EXPECT_EQ(calls, 1);
+    EXPECT_EQ(bind_calls, 1);
 }
 
 }  // namespace
--- a/tests/server/host_pool_test.cpp
+++ b/tests/server/host_pool_test.cpp
@@ -1,4 +1,4 @@
-// The pool of connections to hosts, against hosts on the loopback interface.
+// Tests of the host pool against hosts on the loopback interface.
 #include "host_pool.h"
 
 #include <thread>
@@ -18,40 +18,43 @@
     SocketBudget budget{40};
     std::vector<Result> results;  // of attempts
     std::vector<Result> health_checks;
-    std::chrono::microseconds idle_limit = 30s;
-    std::chrono::microseconds rest = 0ms;
-    std::optional<HostPool> created;  // at the first use, so that a test can set the values above
+    std::chrono::microseconds host_idle_timeout = 30s;
+    std::chrono::microseconds min_idle_time = 0ms;
+    // Created by the first call of `pool`, so that a test can set the values above first.
+    std::optional<HostPool> created;
 
     HostPool& pool() {
         if (!created)
-            created.emplace(io, budget, 200ms, idle_limit,
+            created.emplace(io, budget, 200ms, host_idle_timeout,
                             HostPool::Callbacks{[this](const auto& key, const auto& uid, auto&& result) {
                                                     results.push_back({key, uid, std::move(result)});
                                                 },
                                                 [this](const auto& uid, auto&& result) {
                                                     health_checks.push_back({{}, uid, std::move(result)});
                                                 }},
-                            rest);
+                            min_idle_time);
         return *created;
     }
-    void list(const tcp::endpoint& at, EndpointState state = EndpointState::ready,
-              const std::string& uid = "h") {
+    // Applies a list that contains one host.
+    void update_host(const tcp::endpoint& at, EndpointState state = EndpointState::ready,
+                     const std::string& uid = "h") {
         Endpoint listed;
         listed.uid = uid;
         listed.address = at;
         listed.state = state;
         pool().update({1, false, {listed}});
     }
+    // Sends the first attempt of a request to the host "h".
     void send(std::uint64_t id, std::chrono::microseconds within = 15s) {
         Request message(http::verb::get, "/api?q=1", 11);
         std::string trace("t");
         message.set("X-Trace-Id", trace.append(std::to_string(id)));
         pool().attempt({id, 0}, "h", message, within);
     }
-    // The outcome of one attempt at a host with this handler.
+    // Returns the outcome of one attempt at a host with this handler.
     HostOutcome outcome(Server::Handler handler, std::chrono::microseconds within = 15s) {
         Server host(io, std::move(handler));
-        list(host.endpoint());
+        update_host(host.endpoint());
         const std::size_t before = results.size();
         send(before + 1, within);
         EXPECT_TRUE(run_until(io, [&] { return results.size() > before; }));
@@ -61,7 +64,7 @@
 
 TEST_F(HostPoolTest, ForwardsTheRequestAndTheResponse) {
     Server host(io, [](auto& peer) { peer.ok("body"); });
-    list(host.endpoint());
+    update_host(host.endpoint());
     send(1, 480ms);
     ASSERT_TRUE(run_until(io, [&] { return !results.empty(); }));
     EXPECT_EQ(results[0].result.outcome, HostOutcome::success);
@@ -71,12 +74,12 @@
     EXPECT_EQ(host.requests[0]["X-Expires-In-Ms"], "480");
 }
 
-// Regression: the last byte of a long request had been written, but the handler that notes it was queued
-// behind others, and a list that came in between ended the attempt as not executed. The host reads in steps
-// here until it has the complete request.
-TEST_F(HostPoolTest, ACompletelyWrittenRequestIsNotTakenForUnsent) {
+// Regression: the last byte of a long request had been written, but the handler of the write was queued
+// behind others. An endpoint list that was handled in between ended the attempt as not executed. In this test
+// the host reads in steps and drains as soon as it has received the complete request.
+TEST_F(HostPoolTest, ADrainDoesNotEndAnAttemptWhoseRequestIsWritten) {
     tcp::acceptor listener(io, any_port());
-    list(listener.local_endpoint());
+    update_host(listener.local_endpoint());
     Request message(http::verb::post, "/api", 11);
     message.set("X-Trace-Id", "t1");
     message.body().assign(std::size_t{16} << 20, 'x');
@@ -87,16 +90,16 @@
     std::string read_buffer(std::size_t{1} << 20, ' ');
     std::string received;
     bool complete = false;
-    const auto give_up = std::chrono::steady_clock::now() + 20s;
-    while (!complete && std::chrono::steady_clock::now() < give_up) {
-        asio::post(io, [&] {  // ahead of what this turn of the loop finds
+    const auto deadline = std::chrono::steady_clock::now() + 20s;
+    while (!complete && std::chrono::steady_clock::now() < deadline) {
+        asio::post(io, [&] {  // runs before the handlers of the events that this poll finds
             error_code ec;
             for (std::size_t bytes = 1; bytes > 0 && !ec; received.append(read_buffer, 0, bytes))
                 bytes = host.read_some(asio::buffer(read_buffer), ec);
             const std::size_t header_end = received.find("\r\n\r\n");
             complete =
                 header_end != std::string::npos && received.size() == header_end + 4 + message.body().size();
-            if (complete) list(listener.local_endpoint(), EndpointState::draining);
+            if (complete) update_host(listener.local_endpoint(), EndpointState::draining);
         });
         io.restart();
         io.poll_one();
@@ -108,20 +111,20 @@
     EXPECT_EQ(results[0].result.outcome, HostOutcome::reset);
 }
 
-// Regression: the header had the time left when the connect began. Here the connection is up at once, and the
-// loop runs its handler late.
-TEST_F(HostPoolTest, ARequestOverALateConnectionHasTheTimeLeftInItsHeader) {
+// Regression: X-Expires-In-Ms contained the time left at the start of the connect. In this test the connect
+// succeeds immediately, but the event loop runs its handler late.
+TEST_F(HostPoolTest, TheTimeLeftHeaderExcludesTheTimeOfTheConnect) {
     Server host(io, [](auto& peer) { peer.ok("body"); });
-    list(host.endpoint());
+    update_host(host.endpoint());
     send(1, 480ms);
-    const auto late = std::chrono::steady_clock::now() + 180ms;
-    std::this_thread::sleep_until(late);
+    const auto handler_runs_at = std::chrono::steady_clock::now() + 180ms;
+    std::this_thread::sleep_until(handler_runs_at);
     ASSERT_TRUE(run_until(io, [&] { return !results.empty(); }));
     EXPECT_LE(std::stoi(std::string(host.requests.at(0)["X-Expires-In-Ms"])), 300);
     EXPECT_GT(std::stoi(std::string(host.requests.at(0)["X-Expires-In-Ms"])), 0);
 }
 
-TEST_F(HostPoolTest, EachEndOfAnAttemptHasItsOutcome) {
+TEST_F(HostPoolTest, ResponsesAndFailuresMapToOutcomes) {
     EXPECT_EQ(outcome([](auto& peer) { peer.say("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"); }),
               HostOutcome::error);
     EXPECT_EQ(outcome([](auto& peer) {
@@ -152,8 +155,9 @@
     EXPECT_EQ(results.back().result.answer.body(), "abc");
 }
 
-// Regression, as with clients: one host's response ended the process.
-TEST_F(HostPoolTest, AnEndlessLineInAChunkedResponseEndsOnlyItsAttempt) {
+// Regression: an endless line in a chunked response of a host ended the process. Requests of clients had the
+// same fault.
+TEST_F(HostPoolTest, AnEndlessLineInAChunkedResponseFailsOnlyItsAttempt) {
     const std::string endless(200'000, '1');
     for (const std::string& line : {endless, "1;" + endless, "0\r\nX-Trailer: " + endless})
         EXPECT_EQ(outcome([&](auto& peer) {
@@ -164,15 +168,15 @@
     EXPECT_EQ(outcome([](auto& peer) { peer.ok("served"); }), HostOutcome::success);
 }
 
-// Bytes behind a response must not be parsed as the response to the next request.
-TEST_F(HostPoolTest, SurplusBytesAreNotTheNextResponse) {
+// Bytes after a response must not be parsed as the response to the next request.
+TEST_F(HostPoolTest, AConnectionWithSurplusBytesIsNotReused) {
     int call = 0;
     Server host(io, [&](auto& peer) {
         peer.ok("own" + std::to_string(++call));
-        if (call == 1) peer.ok("copy");  // a packet of its own, which may still be in the kernel
+        if (call == 1) peer.ok("copy");  // a separate packet, which may still be in the kernel's buffer
         if (call == 2) peer.say("noise");
     });
-    list(host.endpoint());
+    update_host(host.endpoint());
     for (std::uint64_t id = 1; id <= 3; ++id) {
         send(id);
         ASSERT_TRUE(run_until(io, [&] { return results.size() == id; }));
@@ -182,12 +186,12 @@
     EXPECT_EQ(host.peers.size(), 3u);
 }
 
-// The copy comes once the connection is idle, and the next request is sent before the loop has run its
-// handler.
-TEST_F(HostPoolTest, BytesThatCameWhileIdleAreSeenBeforeTheNextRequest) {
+// A duplicate response arrives while the connection is idle, and the next request is sent before the event
+// loop has run the handler of the read.
+TEST_F(HostPoolTest, UnreadBytesOnAnIdleConnectionAreDetectedBeforeReuse) {
     int call = 0;
     Server host(io, [&](auto& peer) { peer.ok("own" + std::to_string(++call)); });
-    list(host.endpoint());
+    update_host(host.endpoint());
     send(1);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
     host.peers[0]->ok("copy");
@@ -196,15 +200,16 @@
     EXPECT_EQ(results[1].result.answer.body(), "own2");
 }
 
-// Regression: a host's second response came 1 to 3 ms after the first, and a third of the requests were sent
-// within 1 ms of the response before them on the same connection.
-TEST_F(HostPoolTest, ASecondResponseIsNotTakenForTheNextRequests) {
-    rest = 10s;
+// Regression: a host sent a duplicate response 1 to 3 ms after the first one. A third of the requests were
+// sent within 1 ms of the previous response on the same connection, so that the duplicate could be taken for
+// their response.
+TEST_F(HostPoolTest, ADuplicateResponseIsNotTakenForTheNextResponse) {
+    min_idle_time = 10s;
     Server::Peer* first_peer = nullptr;
     Server host(io, [&](auto& peer) {
         if (std::exchange(first_peer, &peer) == nullptr) peer.ok("own1");
     });
-    list(host.endpoint());
+    update_host(host.endpoint());
     send(1);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
     send(2);
@@ -249,9 +254,9 @@
             << fields;
 }
 
-// A truncated body must never pass as complete. A body without a length is complete at the end of its
-// connection, if that is closed in an orderly way.
-TEST_F(HostPoolTest, ABodyThatMayBeIncompleteIsNoSuccess) {
+// A truncated body must never be treated as complete. A body without a length is complete at the end of the
+// stream, unless the connection is reset.
+TEST_F(HostPoolTest, APossiblyIncompleteBodyIsAReset) {
     EXPECT_EQ(outcome([](auto& peer) {
                   peer.say("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
                   peer.close();
@@ -270,18 +275,18 @@
     EXPECT_EQ(results.back().result.answer.body(), "all of it");
 }
 
-TEST_F(HostPoolTest, RefusedAndTimedOutConnectsAreFailedConnects) {
-    tcp::endpoint nobody;
+TEST_F(HostPoolTest, RefusedAndTimedOutConnectsHaveTheOutcomeConnectFailed) {
+    tcp::endpoint closed_address;
     {
-        tcp::acceptor closed_again(io, any_port());
-        nobody = closed_again.local_endpoint();
+        tcp::acceptor closed_listener(io, any_port());
+        closed_address = closed_listener.local_endpoint();
     }
-    list(nobody);
+    update_host(closed_address);
     send(1);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
     EXPECT_EQ(results[0].result.outcome, HostOutcome::connect_failed);
     NeverUp silent(io);
-    list(silent.endpoint());
+    update_host(silent.endpoint());
     send(2);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 2; }));
     EXPECT_EQ(results[1].result.outcome, HostOutcome::connect_failed);
@@ -289,7 +294,7 @@
 
 TEST_F(HostPoolTest, ReusesTheMostRecentlyUsedConnection) {
     Server host(io, [](auto& peer) { peer.ok(""); });
-    list(host.endpoint());
+    update_host(host.endpoint());
     send(1);
     send(2);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 2; }));
@@ -301,9 +306,9 @@
     EXPECT_EQ(host.peers.size(), 2u);
 }
 
-TEST_F(HostPoolTest, ACloseWhileIdleIsNoticed) {
+TEST_F(HostPoolTest, AConnectionThatTheHostClosedWhileIdleIsNotReused) {
     Server host(io, [](auto& peer) { peer.ok(""); });
-    list(host.endpoint());
+    update_host(host.endpoint());
     send(1);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
     host.peers[0]->close();
@@ -313,23 +318,23 @@
     EXPECT_EQ(results[1].result.outcome, HostOutcome::success);
 }
 
-// A host closes idle connections, and a request written at that moment is lost.
+// A request that is written while the host closes the idle connection is lost.
 TEST_F(HostPoolTest, ClosesIdleConnectionsBeforeTheHostDoes) {
-    idle_limit = 400ms;
+    host_idle_timeout = 400ms;
     Server host(io, [](auto& peer) { peer.ok(""); });
-    list(host.endpoint());
+    update_host(host.endpoint());
     send(1);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
     ASSERT_TRUE(run_until(io, [&] { return host.peers[0]->closed; }));
     EXPECT_EQ(budget.in_use(SocketBudget::Side::host), 0u);
 }
 
-// The response to the abandoned attempt would be taken for that to the next request.
-TEST_F(HostPoolTest, AConnectionIsNeverReusedAfterATimeoutOrACancellation) {
+// The response to the earlier attempt would be taken for the response to the next request.
+TEST_F(HostPoolTest, AConnectionIsNotReusedAfterATimeoutOrACancellation) {
     Server host(io, [](auto& peer) {
         if (peer.request["X-Trace-Id"] == "t3") peer.ok("third");
     });
-    list(host.endpoint());
+    update_host(host.endpoint());
     send(1, 30ms);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
     send(2);
@@ -343,13 +348,13 @@
     EXPECT_EQ(host.peers.size(), 3u);
 }
 
-// A connect that is pending when the host drains would write its request whenever it succeeds.
+// A connect that is pending when the host starts to drain would send its request when it succeeds.
 TEST_F(HostPoolTest, NoRequestIsSentToADrainingHost) {
     NeverUp slow(io);
-    list(slow.endpoint());
+    update_host(slow.endpoint());
     send(1);
     EXPECT_TRUE(results.empty());
-    list(slow.endpoint(), EndpointState::draining);
+    update_host(slow.endpoint(), EndpointState::draining);
     ASSERT_EQ(results.size(), 1u);
     EXPECT_EQ(results[0].result.outcome, HostOutcome::connect_failed);
     send(2);
@@ -357,9 +362,9 @@
     EXPECT_EQ(results[1].result.outcome, HostOutcome::connect_failed);
 }
 
-TEST_F(HostPoolTest, ACompleteListRemovesTheHostsItLeavesOut) {
+TEST_F(HostPoolTest, ACompleteListRemovesTheHostsThatItDoesNotContain) {
     Server host(io, [](auto& peer) { peer.ok(""); });
-    list(host.endpoint());
+    update_host(host.endpoint());
     send(1);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
     pool().update({2, true, {}});
@@ -369,22 +374,22 @@
     EXPECT_EQ(results[1].result.outcome, HostOutcome::connect_failed);
 }
 
-TEST_F(HostPoolTest, AHostThatMovesGetsRequestsAtItsNewAddress) {
+TEST_F(HostPoolTest, AHostWithAChangedAddressGetsRequestsAtTheNewAddress) {
     Server before(io, [](auto& peer) { peer.ok("before"); });
     Server after(io, [](auto& peer) { peer.ok("after"); });
-    list(before.endpoint());
+    update_host(before.endpoint());
     send(1);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
-    list(after.endpoint());
+    update_host(after.endpoint());
     send(2);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 2; }));
     EXPECT_EQ(results[1].result.answer.body(), "after");
 }
 
-TEST_F(HostPoolTest, WithoutASocketAnAttemptEndsUnsentAndOthersContinue) {
-    budget = SocketBudget(10);  // six for one side
+TEST_F(HostPoolTest, AnAttemptBeyondTheSocketBudgetIsNotStarted) {
+    budget = SocketBudget(10);  // at most six for connections to hosts
     Server host(io, [](auto&) {});
-    list(host.endpoint());
+    update_host(host.endpoint());
     for (std::uint64_t id = 1; id <= 7; ++id) send(id);
     ASSERT_EQ(results.size(), 1u);
     EXPECT_EQ(results[0].key.request, 7u);
@@ -397,14 +402,14 @@
 
 TEST_F(HostPoolTest, HealthChecksReturnTheLoadReport) {
     Server host(io, [](auto& peer) { peer.ok("TEXT inflight=7, queue=2, util=0.61"); });
-    list(host.endpoint());
+    update_host(host.endpoint());
     pool().probe("h");
     ASSERT_TRUE(run_until(io, [&] { return !health_checks.empty(); }));
     EXPECT_EQ(host.targets[0], "/_load");
     EXPECT_EQ(health_checks[0].result.outcome, HostOutcome::success);
     EXPECT_EQ(health_checks[0].result.answer.body(), "TEXT inflight=7, queue=2, util=0.61");
     Server silent(io, [](auto&) {});
-    list(silent.endpoint());
+    update_host(silent.endpoint());
     pool().probe("h");
     ASSERT_TRUE(run_until(io, [&] { return health_checks.size() == 2; }));
     EXPECT_EQ(health_checks[1].result.outcome, HostOutcome::timeout);
--- a/tests/server/host_response_reader_test.cpp
+++ b/tests/server/host_response_reader_test.cpp
@@ -1,4 +1,4 @@
-// The parser of hosts' responses, without any socket.
+// Tests of the parser for hosts' responses, without a socket.
 #include "host_response_reader.h"
 
 #include <gtest/gtest.h>
@@ -11,27 +11,28 @@
 namespace {
 using Progress = HostResponseReader::Progress;
 
-void feed(HostResponseReader& reader, std::string_view bytes) {
+// Adds the bytes to the reader's buffer, as a read from a socket does.
+void add_bytes(HostResponseReader& reader, std::string_view bytes) {
     const bool streaming = false;
     reader.commit(
         boost::asio::buffer_copy(reader.prepare(streaming), boost::asio::buffer(bytes.data(), bytes.size())));
 }
 
-// Parses the bytes as the next response to a request that is no HEAD request.
+// Parses the bytes as the next response, to a request with a method other than HEAD.
 Progress parse(HostResponseReader& reader, std::string_view bytes) {
     reader.start(false);
-    feed(reader, bytes);
+    add_bytes(reader, bytes);
     return reader.parse();
 }
 
-TEST(HostResponseReader, ParsesAResponseThatComesInParts) {
+TEST(HostResponseReader, ParsesAResponseThatArrivesInParts) {
     HostResponseReader reader;
     EXPECT_EQ(parse(reader, "HTTP/1.1 200 OK\r\nContent-Le"), Progress::incomplete);
     EXPECT_FALSE(reader.header_complete());
-    feed(reader, "ngth: 4\r\n\r\nbo");
+    add_bytes(reader, "ngth: 4\r\n\r\nbo");
     EXPECT_EQ(reader.parse(), Progress::incomplete);
     EXPECT_TRUE(reader.header_complete());
-    feed(reader, "dy");
+    add_bytes(reader, "dy");
     EXPECT_EQ(reader.parse(), Progress::complete);
     EXPECT_EQ(reader.release().body(), "body");
     EXPECT_EQ(reader.buffered_bytes(), 0u);
@@ -64,10 +65,10 @@
     }
 }
 
-TEST(HostResponseReader, AResponseToHeadHasNoBody) {
+TEST(HostResponseReader, AResponseToAHeadRequestHasNoBody) {
     HostResponseReader reader;
     reader.start(true);
-    feed(reader, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n");
+    add_bytes(reader, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n");
     EXPECT_EQ(reader.parse(), Progress::complete);
 }
 
@@ -81,7 +82,7 @@
     EXPECT_FALSE(with_length.finish_at_end_of_stream());
 }
 
-TEST(HostResponseReader, KnowsFromTheLengthThatABodyIsTooLongToBeBuffered) {
+TEST(HostResponseReader, AContentLengthAboveTheLimitExceedsTheBufferedBody) {
     const std::string header = "HTTP/1.1 200 OK\r\nContent-Length: ";
     HostResponseReader at_limit;
     EXPECT_EQ(parse(at_limit, header + std::to_string(max_buffered_body_bytes) + "\r\n\r\n"),
--- a/tests/server/known_list_test.cpp
+++ b/tests/server/known_list_test.cpp
@@ -1,13 +1,13 @@
-// Start from a list of endpoints known before discovery answers, and what health says meanwhile.
+// Tests of a start with an endpoint list from the configuration, before discovery has answered, and of the
+// health status meanwhile.
 #include "gateway_fixture.h"
 
 namespace gateway::server::test {
 namespace {
 
-// Found on harbor-yard's throng day: a call for the whole list starts no watch, and the watch behind it was
-// one more call, so that the gateways' first calls were twice what discovery serves and most were turned
-// away.
-TEST_F(GatewayTest, WhereListsAreAskedForTheWatchBeginsFromTheKnownList) {
+// Regression: a poll for the complete list starts no watch, so each gateway made a second call for its watch.
+// The first calls of all gateways were twice what discovery can serve, and most of them were rejected.
+TEST_F(GatewayTest, InSubscribeModeTheFirstPollStartsFromTheKnownList) {
     mode = "subscribe";
     extra = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
     endpoint_list = R"({"rev":9,"all":false,"targets":[]})";
@@ -20,8 +20,8 @@
     EXPECT_EQ(discovery.targets[1].substr(0, 33), "/catalog/members?from=9&hold_ms=1");
 }
 
-// A discovery that counts its versions anew would let a watch from the known one hang for good.
-TEST_F(GatewayTest, AKnownListNewerThanDiscoverysIsAskedForWhole) {
+// If discovery has restarted its version numbers, a watch from the known version might never be answered.
+TEST_F(GatewayTest, IfDiscoverysVersionIsOlderTheCompleteListIsPolled) {
     mode = "subscribe";
     extra = R"("known":)" + complete_list(7, endpoint_entry("gone", "127.0.0.1:1")) + ",";
     on_list_call = [this](Server::Peer& peer) {
@@ -36,7 +36,7 @@
     EXPECT_EQ(discovery.targets[2].substr(0, 24), "/catalog/members?from=2&");
 }
 
-TEST_F(GatewayTest, HealthTellsWhetherRequestsCanBeServed) {
+TEST_F(GatewayTest, TheHealthStatusIs503UntilAHostIsReady) {
     endpoint_list = complete_list(1, "");
     gateway();
     ASSERT_TRUE(run_until(io, [&] { return discovery.requests.size() >= 2; }));
@@ -52,7 +52,7 @@
     EXPECT_EQ(client.answers()[1].result_int(), 200u);
 }
 
-TEST_F(GatewayTest, StartsFromTheKnownListWhileDiscoveryIsSilent) {
+TEST_F(GatewayTest, ServesFromTheKnownListWhileDiscoveryDoesNotRespond) {
     endpoint_list.clear();
     extra = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
     ASSERT_TRUE(starts());
@@ -62,21 +62,21 @@
     EXPECT_EQ(client.answers()[0].result_int(), 200u);
 }
 
-TEST_F(GatewayTest, NoRequestIsSentByTheKnownListWhileDiscoveryIsAboutToAnswer) {
+TEST_F(GatewayTest, RequestsWaitBrieflyForTheFirstAnswerOfDiscovery) {
     std::string next_list = std::exchange(endpoint_list, {});
-    Server left(io, [](auto& peer) { peer.ok("left"); });
-    extra = R"("known":)" + complete_list(7, endpoint_entry("l", left.address())) + ",";
+    Server removed_host(io, [](auto& peer) { peer.ok("left"); });
+    extra = R"("known":)" + complete_list(7, endpoint_entry("l", removed_host.address())) + ",";
     gateway();
     Client client(io, address());
     client.say(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return discovery.requests.size() == 1; }));
-    while (io.poll() > 0) {  // all that the request can bring about by itself
+    while (io.poll() > 0) {  // runs all handlers that are ready after the request
     }
-    EXPECT_TRUE(left.requests.empty());
+    EXPECT_TRUE(removed_host.requests.empty());
     endpoint_list = next_list;
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].body(), "served");
-    EXPECT_TRUE(left.requests.empty());
+    EXPECT_TRUE(removed_host.requests.empty());
 }
 
 }  // namespace
--- a/tests/server/log_test.cpp
+++ b/tests/server/log_test.cpp
@@ -1,4 +1,4 @@
-// The log's lines: what they say, and which are written at all.
+// Tests of the format of log lines, the log level and the rate limit.
 #include "log.h"
 
 #include <gtest/gtest.h>
@@ -13,16 +13,17 @@
 
 struct LogTest : ::testing::Test {
     ~LogTest() override { set_log_level(nullptr); }
+    // Returns the text that `write` writes to standard error.
     template <class Write>
-    static std::string written(Write write) {
+    static std::string captured_output(Write write) {
         testing::internal::CaptureStderr();
         write();
         return testing::internal::GetCapturedStderr();
     }
 };
 
-TEST_F(LogTest, ALineHasItsLevelItsEventAndQuotedValues) {
-    const std::string line = written([] {
+TEST_F(LogTest, ALineContainsLevelTimeEventAndQuotedValues) {
+    const std::string line = captured_output([] {
         LogLine(LogLevel::warning, "accept_failed")
             .with("error", "Too many \"open\" files\n")
             .with("count", 3)
@@ -37,23 +38,23 @@
         << line;
 }
 
-TEST_F(LogTest, WhatIsBelowTheLevelIsNotWritten) {
+TEST_F(LogTest, LinesBelowTheLevelAreNotWritten) {
     const auto debug_line = [] { LogLine(LogLevel::debug, "attempt"); };
-    EXPECT_EQ(written(debug_line), "");
+    EXPECT_EQ(captured_output(debug_line), "");
     set_log_level("no such level");
-    EXPECT_EQ(written(debug_line), "");
+    EXPECT_EQ(captured_output(debug_line), "");
     set_log_level("debug");
-    EXPECT_NE(written(debug_line), "");
+    EXPECT_NE(captured_output(debug_line), "");
     set_log_level("off");
-    EXPECT_EQ(written([] { LogLine(LogLevel::error, "anything"); }), "");
+    EXPECT_EQ(captured_output([] { LogLine(LogLevel::error, "anything"); }), "");
 }
 
-TEST_F(LogTest, LinesBeyondTheRateAreDroppedAndCounted) {
-    const std::string lines = written([] {
+TEST_F(LogTest, LinesBeyondTheRateLimitAreDroppedAndCounted) {
+    const std::string lines = captured_output([] {
         for (int i = 0; i < 5000; ++i) LogLine(LogLevel::info, "endpoint_list_received");
     });
     EXPECT_LT(std::count(lines.begin(), lines.end(), '\n'), 4000);
-    const std::string next = written([] {
+    const std::string next = captured_output([] {
         const auto until = std::chrono::steady_clock::now() + 20ms;
         while (std::chrono::steady_clock::now() < until) {
         }
--- a/tests/server/operator_test.cpp
+++ b/tests/server/operator_test.cpp
@@ -1,4 +1,4 @@
-// What operators do through the admin server: ban hosts, set standby.
+// Tests of admin calls on a complete gateway: bans of hosts, and standby.
 #include "gateway_fixture.h"
 
 namespace gateway::server::test {
@@ -14,13 +14,15 @@
         GatewayTest::SetUp();
         extra = R"("mgmt":"127.0.0.1:0",)";
     }
+    // Makes an admin call and returns the status of the answer, or 0 if there is none.
     unsigned call(const std::string& text) {
         Client caller(io, gateway().admin_server()->local_endpoint());
         caller.say(text);
         EXPECT_TRUE(run_until(io, [&] { return caller.ended(); }));
         return caller.answers().empty() ? 0u : caller.answers()[0].result_int();
     }
-    unsigned health() {
+    // Returns the status of a health check of the gateway, or 0 if there is no answer.
+    unsigned health_status() {
         Client client(io, address());
         client.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
         EXPECT_TRUE(answered(client));
@@ -28,7 +30,7 @@
     }
 };
 
-TEST_F(OperatorTest, ABannedHostGetsNothingUntilItIsPutBackWhateverTheListSays) {
+TEST_F(OperatorTest, ABannedHostGetsNoRequestsUntilItIsUnbannedEvenIfItIsListed) {
     Server other(io, [](auto& peer) { peer.ok("other"); });
     endpoint_list =
         complete_list(1, endpoint_entry("h", host.address()) + "," + endpoint_entry("g", other.address()));
@@ -38,9 +40,9 @@
     EXPECT_EQ(call(post("/maintenance/enter", "h")), 200u);
     endpoint_list =
         complete_list(2, endpoint_entry("h", host.address()) + "," + endpoint_entry("g", other.address()));
-    const std::size_t asked = discovery.requests.size();
+    const std::size_t earlier_calls = discovery.requests.size();
     for (const auto& peer : discovery.peers) peer->close();
-    ASSERT_TRUE(run_until(io, [&] { return discovery.requests.size() >= asked + 2; }));
+    ASSERT_TRUE(run_until(io, [&] { return discovery.requests.size() >= earlier_calls + 2; }));
     Client client(io, address());
     for (std::size_t i = 1; i <= 20; ++i) {
         client.say(request("a" + std::to_string(i)));
@@ -57,29 +59,29 @@
     EXPECT_GT(host.requests.size(), 0u);
 }
 
-TEST_F(OperatorTest, OnStandbyItAnswersAllAndKeepsNoConnectionUntilActive) {
+TEST_F(OperatorTest, OnStandbyRequestsAreAnsweredAndConnectionsClosedUntilActive) {
     ASSERT_TRUE(starts());
     EXPECT_EQ(call("GET /status HTTP/1.1\r\nHost: x\r\n\r\n"), 200u);
-    Client idle(io, address()), checker(io, address());
-    idle.say(request("a"));
-    checker.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
-    ASSERT_TRUE(answered(idle) && answered(checker));
+    Client idle_client(io, address()), health_checker(io, address());
+    idle_client.say(request("a"));
+    health_checker.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+    ASSERT_TRUE(answered(idle_client) && answered(health_checker));
     EXPECT_EQ(call(post("/standby")), 200u);
-    EXPECT_TRUE(run_until(io, [&] { return idle.ended() && checker.ended(); }));
-    EXPECT_EQ(health(), 503u);
+    EXPECT_TRUE(run_until(io, [&] { return idle_client.ended() && health_checker.ended(); }));
+    EXPECT_EQ(health_status(), 503u);
     EXPECT_EQ(call("GET /status HTTP/1.1\r\nHost: x\r\n\r\n"), 200u);
-    Client late(io, address());
-    late.say(request("b"));
-    EXPECT_TRUE(run_until(io, [&] { return late.ended(); }));
-    ASSERT_EQ(late.answers().size(), 1u);
-    EXPECT_EQ(late.answers()[0].result_int(), 200u);
-    EXPECT_FALSE(late.answers()[0].keep_alive());
+    Client client_on_standby(io, address());
+    client_on_standby.say(request("b"));
+    EXPECT_TRUE(run_until(io, [&] { return client_on_standby.ended(); }));
+    ASSERT_EQ(client_on_standby.answers().size(), 1u);
+    EXPECT_EQ(client_on_standby.answers()[0].result_int(), 200u);
+    EXPECT_FALSE(client_on_standby.answers()[0].keep_alive());
     EXPECT_EQ(call(post("/active")), 200u);
-    EXPECT_EQ(health(), 200u);
-    Client again(io, address());
-    again.say(request("c"));
-    ASSERT_TRUE(answered(again));
-    EXPECT_TRUE(again.answers()[0].keep_alive());
+    EXPECT_EQ(health_status(), 200u);
+    Client client_after_active(io, address());
+    client_after_active.say(request("c"));
+    ASSERT_TRUE(answered(client_after_active));
+    EXPECT_TRUE(client_after_active.answers()[0].keep_alive());
 }
 
 }  // namespace
--- a/tests/server/resource_limit_test.cpp
+++ b/tests/server/resource_limit_test.cpp
@@ -1,153 +1,154 @@
-// Limits of descriptors, memory and time for the connections of clients.
+// Tests of the limits on descriptors, memory and time for clients' connections.
 #include "gateway_fixture.h"
 
 namespace gateway::server::test {
 namespace {
 
-TEST_F(GatewayTest, SilentAndSlowClientsAreEnded) {
+TEST_F(GatewayTest, ConnectionsWithoutACompleteRequestInTimeAreClosed) {
     ASSERT_TRUE(starts());
-    Client known(io, address()), silent(io, address()), half(io, address());
-    known.say(request("a"));
-    ASSERT_TRUE(answered(known));
-    half.say("GET / HTTP/1.1\r\n");
-    ASSERT_TRUE(run_until(io, [&] { return silent.ended() && half.ended(); }));
-    EXPECT_EQ(half.answers().at(0).result_int(), 408u);
-    EXPECT_FALSE(known.ended());
+    Client served(io, address()), silent(io, address()), incomplete(io, address());
+    served.say(request("a"));
+    ASSERT_TRUE(answered(served));
+    incomplete.say("GET / HTTP/1.1\r\n");
+    ASSERT_TRUE(run_until(io, [&] { return silent.ended() && incomplete.ended(); }));
+    EXPECT_EQ(incomplete.answers().at(0).result_int(), 408u);
+    EXPECT_FALSE(served.ended());
 }
 
-TEST_F(GatewayTest, UnderShortageSilentNewcomersGoBeforeThoseThatAsked) {
-    sockets = 60;  // 36 for clients
+TEST_F(GatewayTest, AtTheSocketLimitConnectionsWithoutARequestAreEvictedFirst) {
+    sockets = 60;  // at most 36 for clients
     ASSERT_TRUE(starts());
-    std::vector<Client> asked, silent;
+    std::vector<Client> served_clients, silent_clients;
     for (std::size_t i = 0; i < 5; ++i) {
-        asked.emplace_back(io, address());
-        asked.back().say(request(std::string("r").append(std::to_string(i))));
-        ASSERT_TRUE(answered(asked.back()));
+        served_clients.emplace_back(io, address());
+        served_clients.back().say(request(std::string("r").append(std::to_string(i))));
+        ASSERT_TRUE(answered(served_clients.back()));
     }
-    for (int i = 0; i < 31; ++i) silent.emplace_back(io, address());
+    for (int i = 0; i < 31; ++i) silent_clients.emplace_back(io, address());
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 36; }));
-    // Past the time in which a first request comes.
+    // Waits until the time in which a first request is expected has passed.
     asio::steady_timer pause(io, 100ms);
-    bool over = false;
-    pause.async_wait([&](error_code) { over = true; });
-    ASSERT_TRUE(run_until(io, [&] { return over; }));
-    Client late(io, address());
-    late.say(request("late"));
-    ASSERT_TRUE(answered(late));
-    ASSERT_TRUE(run_until(io, [&] { return silent[0].ended(); }));
-    for (const Client& client : asked) EXPECT_FALSE(client.ended());
+    bool pause_ended = false;
+    pause.async_wait([&](error_code) { pause_ended = true; });
+    ASSERT_TRUE(run_until(io, [&] { return pause_ended; }));
+    Client new_client(io, address());
+    new_client.say(request("late"));
+    ASSERT_TRUE(answered(new_client));
+    ASSERT_TRUE(run_until(io, [&] { return silent_clients[0].ended(); }));
+    for (const Client& client : served_clients) EXPECT_FALSE(client.ended());
 }
 
-// Clients that ask once and keep their connection for good must not hold what others need to open theirs.
-TEST_F(GatewayTest, KeptConnectionsHoldAPartOfTheDescriptorsOnly) {
-    sockets = 60;  // ten for kept ones, well under what clients may hold
+// Clients that send one request and keep the connection open must not exhaust the descriptors that other
+// clients need to connect.
+TEST_F(GatewayTest, KeepAliveConnectionsUseOnlyAShareOfTheDescriptors) {
+    sockets = 60;  // at most ten for idle keep-alive connections, fewer than clients may hold in total
     ASSERT_TRUE(starts());
-    std::vector<Client> once;
+    std::vector<Client> keep_alive_clients;
     for (std::size_t i = 0; i < 20; ++i) {
-        once.emplace_back(io, address());
-        once.back().say(request(std::string("r").append(std::to_string(i))));
-        ASSERT_TRUE(answered(once.back()));
+        keep_alive_clients.emplace_back(io, address());
+        keep_alive_clients.back().say(request(std::string("r").append(std::to_string(i))));
+        ASSERT_TRUE(answered(keep_alive_clients.back()));
     }
     EXPECT_LE(budget->in_use(SocketBudget::Side::client), 12u);
-    EXPECT_FALSE(once.back().ended());
+    EXPECT_FALSE(keep_alive_clients.back().ended());
 }
 
-TEST_F(GatewayTest, BodiesBeyondTheMemoryAreTurnedAway) {
-    std::vector<ClientRequest> taken;
-    SocketBudget places(40);
+TEST_F(GatewayTest, BodiesBeyondTheMemoryLimitAreRejected) {
+    std::vector<ClientRequest> received;
+    SocketBudget socket_budget(40);
     ClientServer server(
-        io, any_port(), places, 60000,
-        {[&](ClientRequest&& r) { taken.push_back(std::move(r)); }, [](auto) {}, [] { return true; }});
+        io, any_port(), socket_budget, 60000,
+        {[&](ClientRequest&& r) { received.push_back(std::move(r)); }, [](auto) {}, [] { return true; }});
     server.open();
     const std::string text =
         "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 40000\r\n\r\n" + std::string(40000, 'x');
     Client first(io, server.local_endpoint());
     first.say(text);
-    ASSERT_TRUE(run_until(io, [&] { return taken.size() == 1; }));
+    ASSERT_TRUE(run_until(io, [&] { return received.size() == 1; }));
     Client second(io, server.local_endpoint());
     second.say(text);
     ASSERT_TRUE(answered(second));
     EXPECT_EQ(second.answers()[0].result_int(), 503u);
-    taken.clear();  // the runtime is through with it
+    received.clear();  // releases the memory of the first request
     Client third(io, server.local_endpoint());
     third.say(text);
-    ASSERT_TRUE(run_until(io, [&] { return taken.size() == 1; }));
+    ASSERT_TRUE(run_until(io, [&] { return received.size() == 1; }));
 }
 
-TEST_F(GatewayTest, IdleClientsGiveWayWhenSocketsRunOut) {
-    sockets = 10;  // six for clients
+TEST_F(GatewayTest, AtTheSocketLimitAnIdleClientIsEvictedForANewOne) {
+    sockets = 10;  // at most six for clients
     ASSERT_TRUE(starts());
     std::vector<Client> idle;
     for (int i = 0; i < 6; ++i) idle.emplace_back(io, address());
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 6; }));
-    Client late(io, address());
-    late.say(request("a"));
-    ASSERT_TRUE(answered(late));
-    EXPECT_EQ(late.answers()[0].result_int(), 200u);
+    Client new_client(io, address());
+    new_client.say(request("a"));
+    ASSERT_TRUE(answered(new_client));
+    EXPECT_EQ(new_client.answers()[0].result_int(), 200u);
     EXPECT_TRUE(run_until(io, [&] { return idle[0].ended(); }));
 }
 
-TEST_F(GatewayTest, WithEverySocketBusyANewClientWaitsItsTurn) {
+TEST_F(GatewayTest, WithAllSocketsBusyANewClientWaitsUntilOneIsFree) {
     sockets = 10;
     on_request = [](auto&) {};
     ASSERT_TRUE(starts());
-    std::vector<Client> busy;
+    std::vector<Client> busy_clients;
     for (int i = 0; i < 6; ++i) {
-        busy.emplace_back(io, address());
-        busy.back().say("GET / HTTP/1.1\r\n");  // half a request
+        busy_clients.emplace_back(io, address());
+        busy_clients.back().say("GET / HTTP/1.1\r\n");  // an incomplete request
     }
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 6; }));
-    Client late(io, address());
-    late.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
-    busy[3].close();
-    ASSERT_TRUE(answered(late));
-    EXPECT_EQ(late.answers()[0].result_int(), 200u);
+    Client new_client(io, address());
+    new_client.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+    busy_clients[3].close();
+    ASSERT_TRUE(answered(new_client));
+    EXPECT_EQ(new_client.answers()[0].result_int(), 200u);
 }
 
-// Found on harbor-yard's herd day: a process that started slowly took 30 ms from listening to its first
-// accept, and answered a request that had come meanwhile that much too late.
-TEST(ClientServer, TheTimeOfARequestRunsBeforeTheFirstAccept) {
+// Regression: a process that started slowly took 30 ms from listening to its first accept. The time of a
+// request that had arrived meanwhile started only at the accept, so its answer was late by that time.
+TEST(ClientServer, TheTimeOfARequestIncludesTheWaitForTheFirstAccept) {
     asio::io_context io;
     SocketBudget budget(10);
-    std::vector<ClientRequest> taken;
+    std::vector<ClientRequest> received;
     ClientServer server(io, any_port(), budget, 1024 * 1024,
-                        {[&](ClientRequest&& r) { taken.push_back(std::move(r)); }, [](std::uint64_t) {},
+                        {[&](ClientRequest&& r) { received.push_back(std::move(r)); }, [](std::uint64_t) {},
                          [] { return true; }});
     server.open();
-    const auto before = Steady::now();
+    const auto sent_at = Steady::now();
     Client client(io, server.local_endpoint());
     client.say(request("a"));
-    ASSERT_TRUE(run_until(io, [&] { return taken.size() == 1; }));
-    EXPECT_LE(taken[0].arrived, before);
+    ASSERT_TRUE(run_until(io, [&] { return received.size() == 1; }));
+    EXPECT_LE(received[0].arrived, sent_at);
     Client later(io, server.local_endpoint());
-    const auto between = Steady::now();
+    const auto second_sent_at = Steady::now();
     later.say(request("b"));
-    ASSERT_TRUE(run_until(io, [&] { return taken.size() == 2; }));
-    EXPECT_GE(taken[1].arrived, between);
+    ASSERT_TRUE(run_until(io, [&] { return received.size() == 2; }));
+    EXPECT_GE(received[1].arrived, second_sent_at);
 }
 
-TEST(ClientServer, TheTimeOfARequestRunsWhileItsConnectionWaitsForAPlace) {
+TEST(ClientServer, TheTimeOfARequestIncludesTheWaitForAFreeSocket) {
     asio::io_context io;
-    SocketBudget budget(10);  // six for clients
-    std::vector<ClientRequest> taken;
+    SocketBudget budget(10);  // at most six for clients
+    std::vector<ClientRequest> received;
     ClientServer server(io, any_port(), budget, 1024 * 1024,
-                        {[&](ClientRequest&& r) { taken.push_back(std::move(r)); }, [](std::uint64_t) {},
+                        {[&](ClientRequest&& r) { received.push_back(std::move(r)); }, [](std::uint64_t) {},
                          [] { return true; }});
     server.open();
-    std::vector<Client> busy;
+    std::vector<Client> busy_clients;
     for (int i = 0; i < 6; ++i) {
-        busy.emplace_back(io, server.local_endpoint());
-        busy.back().say(request("busy" + std::to_string(i)));
+        busy_clients.emplace_back(io, server.local_endpoint());
+        busy_clients.back().say(request("busy" + std::to_string(i)));
     }
-    ASSERT_TRUE(run_until(io, [&] { return taken.size() == 6; }));
-    Client late(io, server.local_endpoint());
-    late.say(request("late"));
-    while (io.poll() > 0) {  // until the server has found no place for it
+    ASSERT_TRUE(run_until(io, [&] { return received.size() == 6; }));
+    Client new_client(io, server.local_endpoint());
+    new_client.say(request("late"));
+    while (io.poll() > 0) {  // until the server has found that the socket limit is reached
     }
-    const auto waiting = Steady::now();
-    busy[3].close();
-    ASSERT_TRUE(run_until(io, [&] { return taken.size() == 7; }));
-    EXPECT_LE(taken.back().arrived, waiting);
+    const auto waiting_since = Steady::now();
+    busy_clients[3].close();
+    ASSERT_TRUE(run_until(io, [&] { return received.size() == 7; }));
+    EXPECT_LE(received.back().arrived, waiting_since);
 }
 
 }  // namespace
--- a/tests/server/system_call_faults.cpp
+++ b/tests/server/system_call_faults.cpp
@@ -1,4 +1,4 @@
-// The replaced system calls.
+// Replaces the system calls on sockets with versions that can fail or write only a part.
 #include "system_call_faults.h"
 
 #include <dlfcn.h>
@@ -15,20 +15,22 @@
 using gateway::server::test::SocketCall;
 
 bool short_writes = false;
-std::array<std::deque<int>, 3> pending_errors;  // by SocketCall
+// The errno values of the next failing calls, by SocketCall.
+std::array<std::deque<int>, 3> pending_errors;
 constexpr std::size_t short_write_divisor = 3;
 
-// How many of the bytes a short write accepts.
+// The number of bytes that a short write accepts.
 std::size_t short_write_bytes(std::size_t bytes) {
     return bytes <= 1 ? bytes : std::max<std::size_t>(1, bytes / short_write_divisor);
 }
 
+// Returns the C library's definition of a function that this file replaces.
 template <class Function>
 Function* real_function(const char* name) {
     return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
-// The part of the message's vectors that a short write accepts.
+// Returns the message's vectors, shortened to the bytes that a short write accepts.
 std::vector<iovec> short_write_vectors(const msghdr& message) {
     std::vector<iovec> vectors(message.msg_iov, message.msg_iov + message.msg_iovlen);
     std::size_t total = 0;
@@ -47,7 +49,7 @@
     return ::getsockopt(socket, SOL_SOCKET, SO_TYPE, &type, &size) == 0 && type == SOCK_STREAM;
 }
 
-// Returns true and sets errno if the call is to fail.
+// Returns whether the call has to fail, and sets errno if it does.
 bool inject_failure(SocketCall call) {
     std::deque<int>& errors = pending_errors[static_cast<std::size_t>(call)];
     if (errors.empty()) return false;
--- a/tests/server/system_call_faults.h
+++ b/tests/server/system_call_faults.h
@@ -1,4 +1,5 @@
-// Fault injection: makes system calls on sockets fail or write only a part, as Linux may at any time.
+// Fault injection for system calls on sockets: makes them fail or write only a part, both of which Linux may
+// do at any time.
 #pragma once
 
 #include <cstddef>
@@ -6,7 +7,8 @@
 
 namespace gateway::server::test {
 
-// While one exists, `send` and `sendmsg` of this process write a third of the bytes, one at least.
+// While an object of this class exists, `send` and `sendmsg` on stream sockets of this process write only a
+// third of the bytes, but at least one.
 class ShortWrites {
   public:
     ShortWrites();
@@ -18,13 +20,13 @@
 // The system calls that can be made to fail.
 enum class SocketCall { accept, connect, socket };
 
-// While one exists, the next calls of that kind fail with these errno values, in order, and those after them
-// succeed. One may exist at a time.
+// While an object of this class exists, the next calls of the given kind fail with the given errno values, in
+// order. Later calls are executed normally. Only one object may exist at a time.
 class FailingCalls {
   public:
     FailingCalls(SocketCall call, std::initializer_list<int> errors);
     ~FailingCalls();
-    // How many of the errors have not been used.
+    // The number of errors that no call has returned yet.
     [[nodiscard]] std::size_t remaining() const;
     FailingCalls(const FailingCalls&) = delete;
     FailingCalls& operator=(const FailingCalls&) = delete;
--- a/tests/server/system_call_test.cpp
+++ b/tests/server/system_call_test.cpp
@@ -1,4 +1,4 @@
-// The server's connections when system calls fail temporarily or write only a part.
+// Tests of the server while system calls on its sockets fail temporarily or write only a part.
 #include "admin_server.h"
 #include "discovery.h"
 #include "handover.h"
@@ -13,7 +13,8 @@
 
 constexpr std::size_t call_count = 20;
 
-// A writer continues after a short write, because the socket stays writable and no event reports it.
+// A writer has to continue after a short write without waiting: the socket stays writable, and an
+// edge-triggered wait would not end.
 TEST(ShortWrites, EachResponseToAClientIsComplete) {
     asio::io_context io;
     SocketBudget budget(64);
@@ -55,8 +56,8 @@
     }
 }
 
-// A local failure says nothing about the host: the connect is retried until its timeout.
-TEST(FailingConnects, ALocalFailureIsRetried) {
+// A local failure is no fault of the host, so the connect is retried until the connect timeout.
+TEST(FailingConnects, AConnectIsRetriedAfterALocalFailure) {
     asio::io_context io;
     SocketBudget budget(64);
     Server host(io, [](auto& peer) { peer.ok("served"); });
@@ -89,7 +90,7 @@
     }
 }
 
-// Regression: a restart during a temporary shortage of descriptors or buffers ended the process.
+// Regression: a process that was started during a temporary shortage of descriptors or buffers exited.
 TEST(FailingSockets, AGatewayStartsDuringAShortageOfDescriptors) {
     asio::io_context io;
     SocketBudget budget(64);
@@ -108,8 +109,8 @@
     EXPECT_TRUE(run_until(io, [&] { return client.answers().size() == 1; }));
 }
 
-// An accept that fails temporarily leaves the connection in the backlog: a gateway that ends then would lose
-// its request.
+// An accept that fails temporarily leaves the connection in the backlog. If the gateway shut down then, the
+// request on that connection would be lost.
 TEST(FailingAccepts, AConnectionInTheBacklogIsAcceptedBeforeShutdown) {
     asio::io_context io;
     SocketBudget budget(64);
@@ -121,22 +122,23 @@
     tcp::socket client(io);
     client.connect(server.local_endpoint());
     const FailingCalls failing(SocketCall::accept, {ENFILE});
-    EXPECT_TRUE(server.accept_backlog());  // one is still in the backlog
-    EXPECT_TRUE(server.accept_backlog());  // and is accepted now
+    EXPECT_TRUE(server.accept_backlog());  // the accept fails: the connection is still in the backlog
+    EXPECT_TRUE(server.accept_backlog());  // the connection is accepted
     EXPECT_FALSE(server.accept_backlog());
 }
 
-// Without a free descriptor, the connection in the backlog would wake the loop over and over.
-TEST(FailingAccepts, TheWaitForTheNextProcessIsNoBusyLoop) {
+// While no descriptor is free, a connection in the backlog keeps the handover socket readable. Accepting it
+// again without a delay would be a busy loop.
+TEST(FailingAccepts, AFailedAcceptOfTheSuccessorIsRetriedWithADelay) {
     asio::io_context io;
     const std::filesystem::path folder = Program::make_folder();
-    HandoverSocket place(io, folder.string(), "x");
+    HandoverSocket handover_socket(io, folder.string(), "x");
     bool connected = false;
-    place.wait([&](std::shared_ptr<HandoverChannel>) { connected = true; });
+    handover_socket.wait([&](std::shared_ptr<HandoverChannel>) { connected = true; });
     const FailingCalls failing(SocketCall::accept,
                                {EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE});
-    const auto next_process = HandoverSocket(io, folder.string(), "x").find();
-    ASSERT_NE(next_process, nullptr);
+    const auto successor = HandoverSocket(io, folder.string(), "x").find();
+    ASSERT_NE(successor, nullptr);
     const auto until = std::chrono::steady_clock::now() + 30ms;
     ASSERT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() >= until; }));
     EXPECT_GT(failing.remaining(), 4u);
