--- a/src/server/byte_budget.h
+++ b/src/server/byte_budget.h
@@ -1,4 +1,4 @@
-// Limits how many bytes of clients' request bodies the process holds.
+// A limit on the memory for clients' request bodies.
 #pragma once
 
 #include <cstddef>
@@ -6,14 +6,15 @@
 
 namespace gateway::server {
 
-// A limit on bytes that are reserved before they are read. Guards against clients that together send more
-// than fits into the memory limit: a request whose reservation fails is rejected. Outlives its reservations.
+// A limit on bytes that are reserved before they are read from a socket. Guards against clients that together
+// send more data than fits into the memory limit: a request whose reservation fails is rejected. The budget
+// must outlive its reservations.
 class ByteBudget {
   public:
-    // A reservation of bytes. Gives them back at its end.
+    // A reservation of bytes. The destructor returns them to the budget.
     class Reservation {
       public:
-        // Reserves nothing.
+        // Constructs an empty reservation.
         Reservation() = default;
         Reservation(Reservation&& other) noexcept
             : budget_(std::exchange(other.budget_, nullptr)), bytes_(std::exchange(other.bytes_, 0)) {}
@@ -23,11 +24,11 @@
             return *this;
         }
         ~Reservation() { release(); }
-        // Gives the bytes back early. Does nothing where none are reserved.
+        // Returns the bytes to the budget before the destructor does. Has no effect on an empty reservation.
         void release() noexcept {
-            if (ByteBudget* const budget = std::exchange(budget_, nullptr)) budget->held_ -= bytes_;
+            if (ByteBudget* const budget = std::exchange(budget_, nullptr)) budget->reserved_bytes_ -= bytes_;
         }
-        // Whether it holds a reservation.
+        // Whether the reservation was granted and has not been released.
         [[nodiscard]] explicit operator bool() const noexcept { return budget_ != nullptr; }
 
       private:
@@ -40,18 +41,18 @@
 
     explicit ByteBudget(std::size_t limit_bytes) : limit_bytes_(limit_bytes) {}
 
-    // Reserves the bytes. The result holds no reservation where they exceed what is left.
-    [[nodiscard]] Reservation take(std::size_t bytes) {
-        if (bytes > limit_bytes_ - held_) return {};
-        held_ += bytes;
+    // Reserves `bytes`. Returns an empty reservation if fewer bytes than that are available.
+    [[nodiscard]] Reservation reserve(std::size_t bytes) {
+        if (bytes > limit_bytes_ - reserved_bytes_) return {};
+        reserved_bytes_ += bytes;
         return {*this, bytes};
     }
-    // How many bytes are reserved.
-    [[nodiscard]] std::size_t in_use() const noexcept { return held_; }
+    // The number of bytes that are reserved.
+    [[nodiscard]] std::size_t in_use() const noexcept { return reserved_bytes_; }
 
   private:
     const std::size_t limit_bytes_;
-    std::size_t held_ = 0;
+    std::size_t reserved_bytes_ = 0;
 };
 
 }  // namespace gateway::server
--- a/src/server/client_connection.cpp
+++ b/src/server/client_connection.cpp
@@ -42,10 +42,10 @@
     read();
 }
 
-void ClientConnection::start_adopted(std::string_view unread, bool first) {
-    first_request_ = first;
-    if (!first) set_timeout(client_limits::idle_timeout);
-    // No version of this program hands over more than fits.
+void ClientConnection::start_adopted(std::string_view unread, bool first_request) {
+    first_request_ = first_request;
+    if (!first_request) set_timeout(client_limits::idle_timeout);
+    // No release of this program hands over more bytes than the reader's buffer holds.
     if (!reader_.append(unread)) return close(ClientCloseReason::internal_error);
     unread_since_ = Steady::now();
     error_code ec;
@@ -81,18 +81,20 @@
            !reader_.active();
 }
 
-// Whether bytes of a next request wait until the owner accepts requests, or until a pause is over.
+// Whether bytes of the next request are buffered but not parsed yet, because the connection is paused or the
+// owner does not accept requests yet.
 bool ClientConnection::has_deferred_input() const {
     return (state_ == State::paused || !owner_.accepts_requests()) && reader_.buffered_bytes() > 0;
 }
 
-// A client that has just connected may be about to send its first request, and is not idle in this sense.
+// A new connection does not count, because its client may be about to send the first request.
 bool ClientConnection::idle_after_response() const {
     return !first_request_ && state_ != State::paused && idle();
 }
 
 void ClientConnection::on_timeout() {
-    // The runtime sees to it that the response comes in time.
+    // While a request is in flight, its own deadline limits the time until the response, so only a slow
+    // reader of a streamed response times out here.
     if (request_ != 0 && !(streaming_ && writing_)) return set_timeout(client_limits::idle_timeout);
     if (state_ == State::paused) return end_pause();
     if (reader_.active() && !writing_ && state_ != State::lingering)
@@ -101,7 +103,7 @@
     close(state_ == State::lingering ? ClientCloseReason::linger_timeout : ClientCloseReason::timeout);
 }
 
-// Buffered bytes are handed over along with the socket; what the parser has consumed could not be.
+// Buffered bytes are handed over along with the socket, but bytes that the parser has consumed cannot be.
 bool ClientConnection::can_hand_over() const {
     return state_ == State::open && request_ == 0 && !writing_ &&
            (!reader_.active() || !reader_.consumed_any());
@@ -152,7 +154,8 @@
 
 void ClientConnection::abort_stream() {
     error_code ec;
-    // Closes with a reset, because an orderly close could be taken for the end of the response.
+    // Closes the connection with a reset, because the client could take an orderly close for the end of the
+    // response.
     socket_.set_option(asio::socket_base::linger(true, 0), ec);
     close(ClientCloseReason::response_aborted);
 }
@@ -185,7 +188,7 @@
     if (const std::uint64_t request = std::exchange(request_, 0)) owner_.on_request_abandoned(request);
     const auto self = shared_from_this();
     ClientConnectionSet::remove(*this);
-    reader_.give_back_room();
+    reader_.release_body_reservation();
     place_.release();
 }
 
@@ -193,8 +196,9 @@
     if (owner_.handing_over() && can_hand_over()) return hand_over();
     if (!should_read()) return;
     read_pending_ = true;
-    // Waits first and reads then, so that what has come stays in the kernel, where idle() sees it. If a read
-    // were done while its handler has not run, a connection that looks idle could be closed over its request.
+    // Waits until the socket is readable before it reads, so that unread bytes stay in the kernel, where
+    // idle() sees them. If a read completed before its handler ran, a connection could look idle and be
+    // closed although a request has arrived on it.
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code ec) {
         self->read_pending_ = false;
         if (self->state_ == State::closed) return;
@@ -207,15 +211,17 @@
 bool ClientConnection::should_read() const {
     if (state_ == State::closed || read_pending_) return false;
     if (state_ == State::lingering) return dropped_bytes_ < client_limits::max_dropped_bytes;
-    // Pipelined data beyond one read stays in the kernel while nothing can be parsed.
+    // While nothing can be parsed, at most one read of pipelined data is buffered; the rest stays in the
+    // kernel.
     const bool deferred = writing_ || state_ == State::paused || !owner_.accepts_requests();
     return request_ != 0 || !deferred || reader_.buffered_bytes() < ClientRequestReader::read_bytes;
 }
 
 void ClientConnection::on_readable() {
     if (state_ == State::lingering) return drop_input();
-    // While a request is in flight everything is read, because unread bytes would hide that the client has
-    // left. Pipelined data beyond the limit is dropped, and the response ends the connection.
+    // While a request is in flight, all input is read, because unread bytes would hide that the client has
+    // disconnected. Pipelined data beyond the limit is dropped, and the connection is closed after the
+    // response.
     if (request_ != 0 && reader_.buffered_bytes() >= max_header_bytes) {
         keep_alive_ = false;
         close_after_response_ = true;
@@ -226,7 +232,7 @@
     error_code ec;
     const std::size_t bytes = socket_.read_some(reader_.prepare(), ec);
     if (ec && !is_would_block(ec)) return close(ClientCloseReason::closed_by_client);
-    // The time of a request counts from its arrival, however long it is buffered then.
+    // A request's time starts when its first byte arrives, even if the request is then buffered for a while.
     if (reader_.buffered_bytes() == 0 && bytes > 0)
         unread_since_ = std::exchange(first_bytes_at_, std::nullopt).value_or(Steady::now());
     reader_.commit(bytes);
@@ -244,7 +250,8 @@
 }
 
 void ClientConnection::parse() {
-    if (std::exchange(parsing_, true)) return;  // the response was given within; the outer call goes on
+    // A response from within this loop calls parse() again; the outer call continues the loop.
+    if (std::exchange(parsing_, true)) return;
     while (owner_.accepts_requests() && reader_.buffered_bytes() > 0 && state_ == State::open &&
            request_ == 0 && !writing_)
         if (!parse_some()) break;
@@ -252,11 +259,12 @@
     reader_.shrink_if_empty();
 }
 
-// Parses what is buffered of one request. Returns false where more must come first.
+// Parses the buffered bytes of one request. Returns false if more bytes are needed first.
 bool ClientConnection::parse_some() {
     if (!reader_.active()) {
         reader_.start();
-        // The timeout of the first request runs from the connect, and bytes that drip in don't extend it.
+        // The timeout of the first request runs from the connect, and bytes that arrive slowly do not extend
+        // it.
         if (!first_request_) set_timeout(client_limits::header_timeout);
     }
     const ClientRequestReader::Progress progress = reader_.parse();
@@ -265,7 +273,7 @@
         return true;
     }
     if (reader_.complete()) {
-        take_request();
+        dispatch_request();
         return true;
     }
     if (reader_.header_complete()) extend_body_deadline(progress.header_completed, progress.consumed_bytes);
@@ -285,8 +293,9 @@
                                                                     : client_limits::body_timeout));
 }
 
-// Passes the complete request to the owner, or answers it where that is this side's to do.
-void ClientConnection::take_request() {
+// Passes a complete request to the owner, or answers it here if it is a health check or has an unsupported
+// method.
+void ClientConnection::dispatch_request() {
     ClientRequestReader::Released released = reader_.release();
     Request& message = released.message;
     keep_alive_ = released.keep_alive;
@@ -296,12 +305,13 @@
         const bool healthy = !owner_.draining() && owner_.healthy();
         return respond(make_answer(healthy ? http::status::ok : http::status::service_unavailable));
     }
-    // One that has only requested health stays a newcomer, because it is evicted before clients.
+    // A connection that has only sent health checks stays a newcomer, so that it is evicted before
+    // connections that have sent other requests.
     connections_.move_to_known(*this);
     if (message.method() == http::verb::connect || message.method() == http::verb::unknown)
         return fail({http::status::method_not_allowed, "method not allowed"});
     ClientRequest request;
-    request.room = reader_.take_room();
+    request.body_reservation = reader_.take_body_reservation();
     request_ = owner_.next_request_id();
     request.id = request_;
     request.connection = number_;
@@ -310,20 +320,21 @@
     owner_.on_request(*this, std::move(request));
 }
 
-// Answers a request after which the connection can't be read on, and ends the connection.
+// Answers a request that cannot be parsed, and closes the connection after the response, because the start of
+// the next request is unknown.
 void ClientConnection::fail(const UnreadableRequest& error) {
     reader_.abort();
     keep_alive_ = false;
     respond(make_answer(error.status, std::string(error.text) + '\n'));
 }
 
-// Most responses fit into the socket's buffer at once, which saves the wait for it.
+// Writes without a wait first, because most responses fit into the socket's send buffer at once.
 void ClientConnection::write() {
     if (write_from(0)) on_written();
 }
 
-// Writes the output from the offset on. Returns false where the rest has to wait until the socket is
-// writable, or where the connection is closed.
+// Writes `output_` from `offset` on. Returns false if the rest has to wait until the socket is writable, or
+// if the connection is closed.
 bool ClientConnection::write_from(std::size_t offset) {
     set_timeout(client_limits::write_timeout);
     error_code ec;
@@ -337,7 +348,7 @@
     return !writing_;
 }
 
-// Waits first and writes then, because each such wait also ends for space that is there already.
+// Waits before it writes, because the wait also ends at once if there is space already.
 void ClientConnection::await_writable(std::size_t offset) {
     socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this(), offset](error_code failed) {
         if (self->state_ == State::closed) return;
@@ -363,21 +374,23 @@
         set_timeout(client_limits::idle_timeout);
         return report_pieces_written();
     }
-    if (reader_.active()) return set_timeout(client_limits::header_timeout);  // it was 100 Continue
+    // The output was the 100 Continue response.
+    if (reader_.active()) return set_timeout(client_limits::header_timeout);
     set_timeout(client_limits::idle_timeout);
     if (close_after_response_) return linger();
     if (output_.capacity() > client_limits::max_idle_output_bytes) std::string().swap(output_);
 }
 
-// Posted and not called, because the owner may write the next piece at once, which would come back here.
+// The call is posted to the event loop, because the owner may write the next piece at once, which would
+// re-enter this function.
 void ClientConnection::report_pieces_written() {
     asio::post(io_, [self = shared_from_this()] {
         if (self->state_ != State::closed && self->streaming_) self->owner_.on_pieces_written(self->request_);
     });
 }
 
-// Shuts the sending side down and drops the input until the client closes: a close with unread bytes would
-// reset the connection, and the client could lose the response.
+// Shuts down the sending side and drops input until the client closes the connection. A close with unread
+// bytes would reset the connection, and the client could lose the response.
 void ClientConnection::linger() {
     state_ = State::lingering;
     connections_.move_to_front(*this);
--- a/src/server/client_connection.h
+++ b/src/server/client_connection.h
@@ -1,4 +1,4 @@
-// One client's connection: the requests on it, one at a time, and the response to each.
+// A connection from a client: reads requests one at a time and writes the response to each.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -24,41 +24,42 @@
 
 namespace gateway::server {
 
-// What a connection asks of its owner and reports to it. The owner outlives each connection that is not
-// closed.
+// The interface through which a connection queries its owner and reports events to it. The owner must outlive
+// each connection that is not closed.
 class ClientConnectionOwner {
   public:
-    // Whether requests are parsed; before that they wait in the buffers.
+    // Whether requests may be parsed. Until then, their bytes are buffered.
     [[nodiscard]] virtual bool accepts_requests() const = 0;
-    // Whether responses end their connections, because this process is draining or on standby.
+    // Whether connections are closed after their next response, because this process is draining or on
+    // standby.
     [[nodiscard]] virtual bool draining() const = 0;
-    // Whether the health endpoint reports success.
+    // Whether the health endpoint, /_health, reports success.
     [[nodiscard]] virtual bool healthy() const = 0;
-    // Whether another process takes over the connections between two requests.
+    // Whether connections that are between two requests are handed over to another process.
     [[nodiscard]] virtual bool handing_over() const = 0;
-    // The connection gives up its socket to another process, with the bytes read of its next request.
-    // `first`: that is the connection's first request.
-    virtual void on_handed_over(Descriptor&& socket, std::string&& unread, bool first) = 0;
+    // Passes the ownership of the socket and the bytes that were read of the next request, for handover to
+    // another process. `first_request`: whether the next request is the first on this connection.
+    virtual void on_handed_over(Descriptor&& socket, std::string&& unread, bool first_request) = 0;
 
     [[nodiscard]] virtual std::uint64_t next_request_id() = 0;
-    // A request is complete. Exactly one response to it is due.
+    // Passes on a complete request. The owner has to respond to it exactly once.
     virtual void on_request(ClientConnection& connection, ClientRequest&& request) = 0;
-    // The pieces of the request's streamed response have been written.
+    // Reports that all pieces of the request's streamed response so far have been written.
     virtual void on_pieces_written(std::uint64_t request) = 0;
-    // The connection closed before the request had its response. Called after `on_closed`.
+    // Reports that the connection closed before the request was answered. Called after `on_closed`.
     virtual void on_request_abandoned(std::uint64_t request) = 0;
-    // `request`: the one in flight; 0: none.
+    // Reports that a connection closed. `request`: the id of its request in flight; 0: none.
     virtual void on_closed(ClientCloseReason reason, std::uint64_t connection, std::uint64_t request) = 0;
 
   protected:
     ~ClientConnectionOwner() = default;
 };
 
-// One client's connection. A read is always pending, so that a client that leaves is noticed at once.
+// A connection from a client. It always waits for input, so that it notices a client's disconnect at once.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
   public:
-    // `number` identifies it in the log. `connected_by`: the latest time by which it is certain to have
-    // connected.
+    // `number` identifies the connection in the log. `connected_by`: the latest time by which the client is
+    // certain to have connected.
     ClientConnection(boost::asio::io_context& io, ClientConnectionOwner& owner,
                      ClientConnectionSet& connections, ByteBudget& body_budget,
                      boost::asio::ip::tcp::socket&& socket, SocketBudget::Place&& place, std::uint64_t number,
@@ -68,46 +69,50 @@
 
     // Starts to read from a connection that has just been accepted.
     void start();
-    // Starts to read from a connection of another process, which has read `unread` of the next request.
-    void start_adopted(std::string_view unread, bool first);
-    // Parses what is buffered and reads on.
+    // Starts to read from a connection that another process has handed over. `unread`: the bytes of the next
+    // request that the other process had read. `first_request`: whether that request is the first on the
+    // connection.
+    void start_adopted(std::string_view unread, bool first_request);
+    // Parses the buffered bytes and continues to read.
     void process_input();
 
-    // Whether it is between two requests, with nothing of the next one in the buffer or in the kernel.
+    // Whether the connection is between two requests, and neither the buffer nor the kernel holds bytes of
+    // the next one.
     [[nodiscard]] bool idle() const;
-    // Whether it has a request in flight, a response that is not written completely, or unread bytes, which
-    // may be a request.
+    // Whether the connection has a request in flight, a partly written response, or unread bytes, which may
+    // be a request.
     [[nodiscard]] bool busy() const;
-    // Whether it connected by that time and has sent nothing that could be a complete request since, nor is
-    // being answered.
+    // Whether the client connected at `connected_by` or before, has sent nothing since that could be a
+    // complete request, and is not being answered. A lingering connection also counts.
     [[nodiscard]] bool evictable_newcomer(Steady::time_point connected_by) const;
     [[nodiscard]] bool overdue(Steady::time_point now) const { return now >= deadline_; }
 
-    // Handles its deadline.
+    // Handles the expiry of the connection's current deadline.
     void on_timeout();
-    // Closes it gracefully if it is idle and its client has had a response. No check that it is idle holds
-    // until its close: a close with unread bytes would reset the connection, and the client could lose the
-    // end of its last response. So this lingers.
+    // Closes the connection gracefully if it is idle and its client has received a response. A request may
+    // arrive between the idle check and the close; closing with unread bytes would reset the connection, and
+    // the client could lose the end of its last response. Therefore the connection lingers first.
     void close_if_idle() {
         if (idle_after_response()) linger();
     }
-    // Hands it over to another process if it is between two requests.
+    // Hands the connection over to another process if it is between two requests.
     void hand_over_if_possible() {
         if (can_hand_over()) hand_over();
     }
 
-    // Writes the response to the request in flight.
+    // Writes the complete response to the request in flight.
     void respond(Answer&& answer);
-    // Writes a response in pieces: its header and first piece, then further ones.
+    // Streams a response: `begin_stream` writes its header and first piece, `write_piece` each further piece.
     void begin_stream(Answer&& first);
     void write_piece(std::string&& piece, bool last);
-    // Closes the connection in the middle of a streamed response, so that the client can tell that it is not
-    // complete.
+    // Closes the connection in the middle of a streamed response, so that the client notices that the
+    // response is incomplete.
     void abort_stream();
-    // Reads on after a response from outside.
+    // Continues with the next request after the owner has answered the previous one.
     void resume();
-    // Delays the next request after a rejected one. Guards against clients that retry at full speed what
-    // can't be served, because each of their requests costs others' time. The response itself is not delayed.
+    // Delays the next request after a rejected one; the response itself is not delayed. Guards against
+    // clients that retry rejected requests at full speed: each such request takes processing time from other
+    // clients.
     void pause();
     void close(ClientCloseReason reason);
 
@@ -116,9 +121,12 @@
 
     enum class State {
         open,
-        paused,     // input is not parsed until the penalty is over
-        lingering,  // the sending side is shut down; input is dropped until the client closes
-        closed,     // here, or handed over
+        // Input is not parsed until the pause is over.
+        paused,
+        // The sending side is shut down, and input is dropped until the client closes the connection.
+        lingering,
+        // The socket is closed in this process, or has been handed over to another one.
+        closed,
     };
 
     [[nodiscard]] bool between_requests() const;
@@ -137,7 +145,7 @@
     void parse();
     [[nodiscard]] bool parse_some();
     void extend_body_deadline(bool header_completed, std::size_t bytes);
-    void take_request();
+    void dispatch_request();
     void fail(const UnreadableRequest& error);
 
     void write();
@@ -151,7 +159,8 @@
     boost::asio::io_context& io_;
     ClientConnectionOwner& owner_;
     ClientConnectionSet& connections_;
-    ClientConnectionSet::Position position_;  // kept by the set
+    // Maintained by ClientConnectionSet.
+    ClientConnectionSet::Position position_;
     boost::asio::ip::tcp::socket socket_;
     SocketBudget::Place place_;
     const std::uint64_t number_;
@@ -160,23 +169,35 @@
     Steady::time_point deadline_;
 
     ClientRequestReader reader_;
-    // When the first bytes came, if they were here before the connection was accepted.
+    // The estimated arrival time of the first bytes, if they arrived before the connection was accepted.
     std::optional<Steady::time_point> first_bytes_at_;
-    Steady::time_point unread_since_;  // when the first of the buffered bytes came
-    std::size_t dropped_bytes_ = 0;    // of all input
-    std::size_t body_bytes_ = 0;       // since the deadline was last extended for them
+    // The arrival time of the first buffered byte.
+    Steady::time_point unread_since_;
+    // The number of input bytes dropped on this connection.
+    std::size_t dropped_bytes_ = 0;
+    // The number of body bytes received since they last extended the deadline.
+    std::size_t body_bytes_ = 0;
     bool read_pending_ = false;
-    bool parsing_ = false;                  // guards against recursion
-    bool first_request_ = true;             // none has been complete
-    std::chrono::milliseconds penalty_{0};  // the latest pause, if the last request was rejected
-
-    std::uint64_t request_ = 0;  // the id of the one in flight; 0: none
+    // Guards `parse` against recursion.
+    bool parsing_ = false;
+    // Whether no complete request has been received yet.
+    bool first_request_ = true;
+    // The length of the latest pause; 0 if the last request was not rejected.
+    std::chrono::milliseconds penalty_{0};
+
+    // The id of the request in flight; 0: none.
+    std::uint64_t request_ = 0;
     ClientResponseEncoder encoder_;
-    std::string output_;       // is being written
-    std::string next_output_;  // the last piece of a streamed response, behind it
-    bool writing_ = false;     // output has to wait until the socket is writable
-    bool streaming_ = false;   // a response is streamed and its last piece has not come
-    bool keep_alive_ = true;   // as the client wants it
+    // The output that is being written.
+    std::string output_;
+    // Output to write after `output_`: the last piece of a streamed response.
+    std::string next_output_;
+    // Whether output is waiting until the socket is writable.
+    bool writing_ = false;
+    // Whether a response is being streamed and its last piece is still to come.
+    bool streaming_ = false;
+    // Whether the client wants the connection kept alive.
+    bool keep_alive_ = true;
     bool close_after_response_ = false;
 };
 
--- a/src/server/client_connection_set.cpp
+++ b/src/server/client_connection_set.cpp
@@ -9,8 +9,8 @@
 using namespace std::chrono_literals;
 
 namespace {
-// A newcomer that has been silent for this long is evicted first, because a client's first request arrives
-// well before.
+// A newcomer that has sent nothing for this long is evicted first, because clients normally send their first
+// request well within this time.
 constexpr std::chrono::milliseconds newcomer_grace_period = 50ms;
 }  // namespace
 
@@ -78,7 +78,8 @@
     return true;
 }
 
-// Newcomers that have only requested health as well: no kept one would leave by itself.
+// Includes newcomers that have only sent health checks, because a client would not close such a kept-alive
+// connection by itself.
 void ClientConnectionSet::close_idle() {
     for_each([](ClientConnection& connection) { connection.close_if_idle(); });
 }
@@ -87,7 +88,7 @@
     for_each([](ClientConnection& connection) { connection.hand_over_if_possible(); });
 }
 
-// The action may move or remove the connection it is called with.
+// `action` may move its connection to another list or remove it.
 template <class Action>
 void ClientConnectionSet::for_each(Action action) {
     for (Connections* list : {&newcomers_, &known_})
@@ -105,7 +106,8 @@
 void ClientConnectionSet::handle_timeouts(Connections& list) {
     const auto now = Steady::now();
     for (auto entry = list.begin(); entry != list.end();) {
-        const auto connection = *entry++;  // it may be removed now
+        // The handler below may remove the connection, so the iterator is advanced first.
+        const auto connection = *entry++;
         if (!connection->overdue(now)) continue;
         contain(
             "client", [&] { connection->on_timeout(); },
--- a/src/server/client_connection_set.h
+++ b/src/server/client_connection_set.h
@@ -1,4 +1,4 @@
-// All connections of clients, in the order in which they are evicted.
+// The set of all client connections, in the order in which they are evicted.
 #pragma once
 
 #include <chrono>
@@ -13,12 +13,13 @@
 
 class ClientConnection;
 
-// Keeps the connections in two lists, each with the one that connected or was used longest ago first:
-// newcomers, which have sent no complete request yet, are paused or linger, and known ones, which have.
+// Keeps the connections in two lists, each with the one that connected or was used longest ago first.
+// Newcomers are connections that have not sent a complete request yet, are paused or linger; the others are
+// known.
 class ClientConnectionSet {
   public:
     using Connections = std::list<std::shared_ptr<ClientConnection>>;
-    // Where the set holds a connection.
+    // The position of a connection in the set: its list and the entry there.
     struct Position {
         Connections* list = nullptr;
         Connections::iterator entry;
@@ -26,30 +27,31 @@
 
     void add_newcomer(const std::shared_ptr<ClientConnection>& connection);
     void add_known(const std::shared_ptr<ClientConnection>& connection);
-    // It has sent a complete request: it is evicted after those that have not, and after those used before
-    // it.
+    // For a connection that has sent a complete request: it is evicted after all newcomers and after the
+    // known connections that were used before it.
     void move_to_known(ClientConnection& connection);
-    // It is paused: it is evicted before those that come after it, and before known ones.
+    // For a paused connection: it is evicted before known connections and before newcomers that are added
+    // later.
     void move_to_newcomers(ClientConnection& connection);
-    // It lingers: it is evicted before all others.
+    // For a lingering connection: it is evicted before all others.
     void move_to_front(ClientConnection& connection);
     static void remove(ClientConnection& connection);
 
-    // A copy, because handling a newcomer's input moves it.
+    // Returns a copy, because handling a newcomer's input moves the connection to another list.
     [[nodiscard]] Connections newcomers() const { return newcomers_; }
     [[nodiscard]] std::size_t known_count() const { return known_.size(); }
-    // Whether a connection has a request in flight or unread, or a response that is not written completely.
+    // Whether any connection has a request in flight, unread bytes, or a partly written response.
     [[nodiscard]] bool any_busy() const;
 
-    // Closes one connection to free its descriptor; returns false where none can be closed. Guards against
-    // crowds that connect and send nothing, or never complete a request: they are evicted for each other
-    // before any client that has sent a request loses its connection to them.
+    // Closes one connection to free its descriptor; returns false if none can be closed. Guards against large
+    // numbers of clients that connect and send nothing, or never complete a request: their connections are
+    // evicted before those of any client that has sent a request.
     bool evict_one();
-    // Closes the known connection that has been idle for longest; returns false where none is idle.
+    // Closes the known connection that has been idle for longest; returns false if none is idle.
     bool evict_one_idle();
-    // Closes all idle connections whose client has had a response, for a graceful shutdown.
+    // Closes all idle connections whose client has received a response, for a graceful shutdown.
     void close_idle();
-    // Hands over all connections between two requests to another process.
+    // Hands over all connections that are between two requests to another process.
     void hand_over();
     // Handles the connections whose deadline has passed.
     void handle_timeouts();
--- a/src/server/client_listener.cpp
+++ b/src/server/client_listener.cpp
@@ -18,10 +18,11 @@
 using namespace std::chrono_literals;
 
 namespace {
-// With a permanent backlog nothing tells when the next connection in it came: this much before it is accepted
-// at most, because otherwise all its requests would count as expired.
+// While the backlog is never empty, the time at which the next connection in it arrived is unknown. It is
+// assumed to be at most this long ago, because otherwise all requests on it would count as expired.
 constexpr std::chrono::milliseconds max_backlog_age = 500ms;
-constexpr std::chrono::milliseconds accept_backoff = 20ms;  // after an accept that failed for a shortage
+// The delay after an accept failed because descriptors or memory were short.
+constexpr std::chrono::milliseconds accept_backoff = 20ms;
 
 bool is_shortage(error_code ec) {
     return ec == asio::error::no_descriptors || ec == asio::error::no_buffer_space ||
@@ -36,13 +37,16 @@
       callbacks_(std::move(callbacks)),
       acceptor_(io),
       backoff_timer_(io),
-      backlog_since_(Steady::now()) {  // clients may connect from the listen on, before the loop runs
+      // Clients may connect as soon as the socket listens, before the event loop runs.
+      backlog_since_(Steady::now()) {
     if (listener) {
         acceptor_.assign(address.protocol(), listener.release());
     } else {
         acceptor_.open(address.protocol());
-        acceptor_.set_option(tcp::acceptor::reuse_address(true));  // a restart binds at once
-        acceptor_.set_option(ReusePort(true));  // even while the former process still listens
+        // Lets a restarted process bind the address at once.
+        acceptor_.set_option(tcp::acceptor::reuse_address(true));
+        // Lets this process bind while the previous process still listens.
+        acceptor_.set_option(ReusePort(true));
         acceptor_.bind(address);
         acceptor_.listen(asio::socket_base::max_listen_connections);
     }
@@ -70,14 +74,15 @@
     accept();
 }
 
-// One accept is pending unless no place is left for a further client; then a freed place starts the next.
+// One accept is always pending, unless the socket budget has no place for a further client. Then the next
+// freed place starts it.
 void ClientListener::accept() {
     if (accept_pending_ || suspended_ || !acceptor_.is_open()) return;
     accept_pending_ = true;
     acceptor_.async_wait(tcp::acceptor::wait_read, [this](error_code failed) {
         accept_pending_ = false;
         if (suspended_ || !acceptor_.is_open()) return;
-        // Cancelled by a suspension that was over before this handler ran.
+        // `resume` was called after `suspend` had cancelled this wait but before the handler ran.
         if (failed) return accept();
         on_acceptable();
     });
@@ -98,8 +103,8 @@
     accept_after_backoff();
 }
 
-// Guards against a busy loop: whoever holds the descriptors, the connection in the backlog would end the next
-// wait at once, over and over.
+// Guards against a busy loop: while descriptors are exhausted, the connection in the backlog would end each
+// wait at once.
 void ClientListener::accept_after_backoff() {
     backoff_timer_.expires_after(accept_backoff);
     backoff_timer_.async_wait([this](error_code cancelled) {
@@ -107,7 +112,7 @@
     });
 }
 
-// Returns false where no place was left for it.
+// Returns false if the socket budget had no place for the connection.
 bool ClientListener::accept_one(error_code& ec) {
     std::optional<SocketBudget::Place> place = budget_.take(SocketBudget::Side::client);
     if (!place) return false;
@@ -119,10 +124,12 @@
 }
 
 bool ClientListener::accept_backlog() {
-    if (suspended_) return false;  // the backlog is the other process's
+    // The other process accepts the backlog.
+    if (suspended_) return false;
     bool any = false;
     for (error_code ec; accept_one(ec) && !ec;) any = true;
-    // An accept may fail temporarily, or find no place: the connections behind it are not passed over.
+    // An accept may fail temporarily or find no place in the budget; the remaining connections in the backlog
+    // still count.
     return any || has_backlog();
 }
 
@@ -131,7 +138,8 @@
     return ::poll(&listener, 1, 0) > 0;
 }
 
-// Never later than the connection at the head of the backlog came, except for one that has waited very long.
+// Returns a time that is not later than the arrival of the connection at the head of the backlog, unless that
+// connection has waited longer than `max_backlog_age`.
 Steady::time_point ClientListener::connected_by() const {
     const auto now = Steady::now();
     return std::max(backlog_since_.value_or(now), now - max_backlog_age);
--- a/src/server/client_listener.h
+++ b/src/server/client_listener.h
@@ -1,4 +1,4 @@
-// Accepts the clients' connections.
+// The listening socket for client connections.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,7 +13,7 @@
 
 namespace gateway::server {
 
-// Listens at one address and accepts a connection whenever the socket budget has a place for it.
+// Listens on one address and accepts a connection whenever the socket budget has a place for it.
 class ClientListener {
   public:
     struct Callbacks {
@@ -21,27 +21,27 @@
         std::function<void(boost::asio::ip::tcp::socket&&, SocketBudget::Place&&,
                            Steady::time_point connected_by)>
             on_connection;
-        // The machine is short of descriptors or memory: closes a connection if it can.
+        // The system is short of descriptors or memory: the callback closes a connection if it can.
         std::function<void()> on_shortage;
     };
 
-    // `listener`: a socket that listens already, from another process; none: one is bound to the address
-    // here. Throws boost::system::system_error where the address can't be bound.
+    // `listener`: a listening socket inherited from another process; if empty, the constructor binds one to
+    // `address`. Throws boost::system::system_error if the address cannot be bound.
     ClientListener(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
                    SocketBudget& budget, Callbacks callbacks, Descriptor&& listener);
     ClientListener(const ClientListener&) = delete;
     ClientListener& operator=(const ClientListener&) = delete;
 
-    // Starts to accept.
+    // Starts to accept connections.
     void start();
-    // Stops to accept, because another process does, until `resume`.
+    // Stops accepting until `resume`, because another process accepts the connections.
     void suspend();
     void resume();
-    // Detaches from the socket budget, before the end.
+    // Removes the callback from the socket budget. Required before destruction.
     void detach();
-    // Accepts all connections that are in the backlog. Returns whether there were any, or are still some.
+    // Accepts all connections in the backlog. Returns whether there were any, or some are left.
     [[nodiscard]] bool accept_backlog();
-    // A duplicate of the listening socket, for another process.
+    // Returns a duplicate of the listening socket for another process.
     [[nodiscard]] Descriptor share() const;
     [[nodiscard]] boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
@@ -58,10 +58,12 @@
     const Callbacks callbacks_;
     boost::asio::ip::tcp::acceptor acceptor_;
     boost::asio::steady_timer backoff_timer_;
-    // Connections may have waited in the backlog since then; none: there was no backlog at the last look.
+    // Connections may have waited in the backlog since this time. Empty if the backlog was empty at the last
+    // check.
     std::optional<Steady::time_point> backlog_since_;
     bool accept_pending_ = false;
-    bool awaiting_place_ = false;  // accepts again when the socket budget has a place
+    // Whether the listener waits for a free place in the socket budget.
+    bool awaiting_place_ = false;
     bool suspended_ = false;
 };
 
--- a/src/server/client_request.h
+++ b/src/server/client_request.h
@@ -1,4 +1,4 @@
-// A client's request as the clients' side passes it on.
+// A client's request as the client server passes it to the request handler.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +9,18 @@
 
 namespace gateway::server {
 
-// A complete request, without the fields that concern the client's connection only.
+// A complete request, without the header fields that concern only the client's connection.
 struct ClientRequest {
-    std::uint64_t id = 0;          // unique within the process
-    std::uint64_t connection = 0;  // the number of the connection that it came on
-    Steady::time_point arrived;    // at this machine, as far as that is known: never later than it did
+    // Unique within the process.
+    std::uint64_t id = 0;
+    // The number of the connection on which the request arrived.
+    std::uint64_t connection = 0;
+    // The arrival time at this machine. Where it is only known approximately, this is an earlier time, never
+    // a later one.
+    Steady::time_point arrived;
     Request message;
-    ByteBudget::Reservation room;  // reserves the bytes of its body
+    // The reservation for the bytes of the body.
+    ByteBudget::Reservation body_reservation;
 };
 
 }  // namespace gateway::server
--- a/src/server/client_request_reader.cpp
+++ b/src/server/client_request_reader.cpp
@@ -8,9 +8,10 @@
 using boost::system::error_code;
 
 namespace {
-// A header and one read may be buffered; a body is consumed as it comes.
+// The buffer holds at most a header and one read; body bytes are consumed as they arrive.
 constexpr std::size_t max_buffered_bytes = max_header_bytes + ClientRequestReader::read_bytes;
-// A body up to this many bytes reserves none, because it costs less than its connection does anyway.
+// A body of up to this size reserves no bytes from the budget, because it uses less memory than its
+// connection does in any case.
 constexpr std::size_t max_unreserved_body_bytes = 4096;
 
 std::optional<UnreadableRequest> error_of(error_code ec) {
@@ -55,7 +56,7 @@
 
 void ClientRequestReader::abort() {
     parser_.reset();
-    room_.release();
+    body_reservation_.release();
 }
 
 ClientRequestReader::Progress ClientRequestReader::parse() {
@@ -87,8 +88,8 @@
     if (length) bytes = static_cast<std::size_t>(*length);
     else if (parser_->chunked()) bytes = max_buffered_body_bytes;
     if (bytes <= max_unreserved_body_bytes) return true;
-    room_ = body_budget_.take(bytes);
-    return static_cast<bool>(room_);
+    body_reservation_ = body_budget_.reserve(bytes);
+    return static_cast<bool>(body_reservation_);
 }
 
 bool ClientRequestReader::expects_continue() const {
--- a/src/server/client_request_reader.h
+++ b/src/server/client_request_reader.h
@@ -1,4 +1,4 @@
-// Parses the requests that arrive on a client's connection.
+// The parser for requests on a client connection.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -14,72 +14,77 @@
 
 namespace gateway::server {
 
-// Why the bytes of a request cannot be read; nothing more can be read from its connection either.
+// The reason why a request cannot be parsed. Nothing further can be read from its connection either.
 struct UnreadableRequest {
     http::status status;
-    const char* text;  // the body of the response, without the end of its line
+    // The body of the response, without the line break at its end.
+    const char* text;
 };
 
-// Buffers the bytes of one connection and parses them as requests, one at a time. Performs no I/O: its owner
-// reads into `prepare` and reports what came with `commit`.
+// Buffers the bytes of one connection and parses them as requests, one at a time. Performs no I/O: the owner
+// reads into the space that `prepare` returns and reports the number of bytes read with `commit`.
 class ClientRequestReader {
   public:
     // The size of one read, in bytes.
     static constexpr std::size_t read_bytes = 4096;
 
-    // What one call of `parse` has achieved.
+    // The result of one call of `parse`.
     struct Progress {
         std::optional<UnreadableRequest> error;
         std::size_t consumed_bytes = 0;
-        bool header_completed = false;  // by this call
+        // Whether this call completed the header.
+        bool header_completed = false;
     };
 
-    // A complete request, with the length of its body in place of the chunked coding and without the
-    // hop-by-hop fields.
+    // A complete request without hop-by-hop header fields. A chunked body is replaced by one with a
+    // Content-Length.
     struct Released {
         Request message;
-        bool keep_alive = false;  // whether the client wants the connection kept alive
+        // Whether the client wants the connection kept alive.
+        bool keep_alive = false;
     };
 
-    // Bodies reserve their bytes in `body_budget`.
+    // Each body reserves its bytes in `body_budget`, which must outlive the reader.
     explicit ClientRequestReader(ByteBudget& body_budget);
 
-    // Space for one read.
+    // Returns the space for one read.
     [[nodiscard]] boost::asio::mutable_buffer prepare() { return buffer_.prepare(read_bytes); }
     void commit(std::size_t bytes) { buffer_.commit(bytes); }
-    // Whether there is space for a further read. Without it the parser waits for the end of a line that has
-    // none, because no header limit holds for lines inside a chunked body.
+    // Whether the buffer has space for a further read. It runs out if a line inside a chunked body never
+    // ends, because the header limit does not apply to such lines and the parser consumes a line only when it
+    // is complete.
     [[nodiscard]] bool has_space() const { return buffer_.size() + read_bytes <= buffer_.max_size(); }
-    // Puts bytes behind what is buffered. Returns false where they exceed the buffer's limit.
+    // Appends bytes to the buffer. Returns false if they exceed the buffer's limit.
     [[nodiscard]] bool append(std::string_view bytes);
-    // The bytes that the parser has not consumed.
+    // The number of bytes that the parser has not consumed.
     [[nodiscard]] std::size_t buffered_bytes() const { return buffer_.size(); }
     [[nodiscard]] std::string copy_of_buffered() const;
     void discard_buffered();
-    // Releases a buffer that has grown, as soon as it is empty.
+    // Frees the memory of a buffer that has grown, if it is empty.
     void shrink_if_empty();
 
-    // Starts the next request.
+    // Starts to parse the next request.
     void start();
-    // Gives up the current request and what it has reserved.
+    // Discards the current request and releases its reservation.
     void abort();
-    // Whether a request has been started and not released or aborted.
+    // Whether a request has been started and neither released nor aborted.
     [[nodiscard]] bool active() const { return parser_.has_value(); }
-    // Whether the parser has consumed a byte of the request, so that another process could not take it over.
+    // Whether the parser has consumed any byte of the request; if so, another process cannot take over the
+    // connection.
     [[nodiscard]] bool consumed_any() const { return consumed_any_; }
 
-    // Parses what is buffered of the current request.
+    // Parses the buffered bytes of the current request.
     [[nodiscard]] Progress parse();
     [[nodiscard]] bool header_complete() const { return parser_->is_header_done(); }
     [[nodiscard]] bool complete() const { return parser_->is_done(); }
-    // Whether the client waits for 100 Continue before it sends the body.
+    // Whether the client waits for a 100 Continue response before it sends the body.
     [[nodiscard]] bool expects_continue() const;
-    // Moves the request out. Requires that it is complete.
+    // Moves the request out of the reader. Requires that the request is complete.
     [[nodiscard]] Released release();
-    // Gives back what the body of the current or the latest request has reserved.
-    void give_back_room() { room_.release(); }
-    // Moves the reservation for the body of the released request out.
-    [[nodiscard]] ByteBudget::Reservation take_room() { return std::move(room_); }
+    // Releases the reservation for the body of the current or the latest request.
+    void release_body_reservation() { body_reservation_.release(); }
+    // Moves out the reservation for the body of the released request.
+    [[nodiscard]] ByteBudget::Reservation take_body_reservation() { return std::move(body_reservation_); }
 
   private:
     using Parser = http::request_parser<http::string_body>;
@@ -89,7 +94,7 @@
 
     ByteBudget& body_budget_;
     boost::beast::flat_buffer buffer_;
-    ByteBudget::Reservation room_;  // for the body
+    ByteBudget::Reservation body_reservation_;
     std::optional<Parser> parser_;
     bool consumed_any_ = false;
 };
--- a/src/server/client_response_encoder.cpp
+++ b/src/server/client_response_encoder.cpp
@@ -13,7 +13,7 @@
     strip_connection_fields(answer.base());
     answer.version(version_);
     answer.keep_alive(keep_alive);
-    // A response to HEAD has the length that the host announced, and no body.
+    // A response to HEAD has the Content-Length that the host sent, and no body.
     if (!head_ || answer.count(http::field::content_length) == 0) answer.content_length(answer.body().size());
     if (std::exchange(head_, false)) answer.body().clear();
     serialize(answer, out);
--- a/src/server/client_server.cpp
+++ b/src/server/client_server.cpp
@@ -13,15 +13,15 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::chrono::milliseconds sweep_interval = 100ms;
-// Known connections may hold this fraction of all descriptors; beyond it each further client evicts the idle
-// one that was used longest ago. Guards against clients that send one request and keep their connection for
-// good: the descriptors that they hold are missing for others.
+constexpr std::chrono::milliseconds timeout_check_interval = 100ms;
+// Known connections may hold this fraction of all descriptors; beyond it, each new connection evicts the idle
+// one that was used longest ago. Guards against clients that send one request and never close their
+// connection, so that too few descriptors are left for other clients.
 constexpr std::size_t max_known_divisor = 6;
 }  // namespace
 
 ClientServer::ClientServer(asio::io_context& io, const tcp::endpoint& listen, SocketBudget& budget,
-                           std::size_t most_bytes, Callbacks callbacks, Descriptor&& listener)
+                           std::size_t max_body_bytes, Callbacks callbacks, Descriptor&& listener)
     : io_(io),
       budget_(budget),
       callbacks_(std::move(callbacks)),
@@ -31,10 +31,10 @@
                  },
                  [this] { connections_.evict_one(); }},
                 std::move(listener)),
-      sweep_timer_(io),
-      body_budget_(most_bytes) {
+      timeout_check_timer_(io),
+      body_budget_(max_body_bytes) {
     budget_.on_shortage(SocketBudget::Side::client, [this] { return connections_.evict_one(); });
-    sweep();
+    check_timeouts();
     listener_.start();
 }
 
@@ -52,7 +52,7 @@
     connections_.add_newcomer(connection);
     LogLine(LogLevel::debug, "client_accepted").with("connection", connection->number());
     connection->start();
-    if (connections_.known_count() > budget_.most() / max_known_divisor) connections_.evict_one_idle();
+    if (connections_.known_count() > budget_.limit() / max_known_divisor) connections_.evict_one_idle();
 }
 
 ClientServer::ConnectionPointer ClientServer::make_connection(tcp::socket&& socket,
@@ -132,7 +132,7 @@
             [&] { connection->close(ClientCloseReason::internal_error); });
 }
 
-bool ClientServer::draining() const { return (draining_ && !pass_) || standby_; }
+bool ClientServer::draining() const { return (draining_ && !hand_over_connection_) || standby_; }
 
 void ClientServer::drain() {
     draining_ = true;
@@ -144,41 +144,43 @@
     if (enabled) connections_.close_idle();
 }
 
-void ClientServer::hand_over(Pass pass) {
-    pass_ = std::move(pass);
+void ClientServer::hand_over(HandOverConnection hand_over_connection) {
+    hand_over_connection_ = std::move(hand_over_connection);
     listener_.suspend();
     connections_.hand_over();
 }
 
-void ClientServer::on_handed_over(Descriptor&& socket, std::string&& unread, bool first) {
-    pass_(std::move(socket), std::move(unread), first);
+void ClientServer::on_handed_over(Descriptor&& socket, std::string&& unread, bool first_request) {
+    hand_over_connection_(std::move(socket), std::move(unread), first_request);
 }
 
-void ClientServer::take_back() {
-    pass_ = {};
+void ClientServer::cancel_hand_over() {
+    hand_over_connection_ = {};
     listener_.resume();
 }
 
-void ClientServer::adopt(Descriptor&& socket, std::string_view unread, bool first) {
+void ClientServer::adopt(Descriptor&& socket, std::string_view unread, bool first_request) {
     std::optional<SocketBudget::Place> place = budget_.take(SocketBudget::Side::client);
     error_code ec;
     tcp::socket adopted(io_);
     adopted.assign(listener_.local_endpoint().protocol(), socket.get(), ec);
-    if (!ec) socket.release();  // `adopted` owns it now
+    // `adopted` owns the descriptor from here on.
+    if (!ec) socket.release();
     if (!place || ec) return;
     const auto connection = make_connection(std::move(adopted), std::move(*place), Steady::now());
-    if (first) connections_.add_newcomer(connection);
+    if (first_request) connections_.add_newcomer(connection);
     else connections_.add_known(connection);
-    connection->start_adopted(unread, first);
+    connection->start_adopted(unread, first_request);
 }
 
-// Handles timeouts, now and at each interval.
-void ClientServer::sweep() {
+// Handles expired timeouts now and again after each interval.
+void ClientServer::check_timeouts() {
     connections_.handle_timeouts();
-    if (draining()) connections_.close_idle();  // those that were not idle when draining began
-    sweep_timer_.expires_after(sweep_interval);
-    sweep_timer_.async_wait([this](error_code cancelled) {
-        if (!cancelled) sweep();
+    // Closes connections that became idle after draining began.
+    if (draining()) connections_.close_idle();
+    timeout_check_timer_.expires_after(timeout_check_interval);
+    timeout_check_timer_.async_wait([this](error_code cancelled) {
+        if (!cancelled) check_timeouts();
     });
 }
 
--- a/src/server/client_server.h
+++ b/src/server/client_server.h
@@ -1,4 +1,4 @@
-// The clients' side: accepts connections, passes their requests on and writes the one response to each.
+// The HTTP server for clients: accepts connections, passes their requests on and writes one response to each.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -24,73 +24,76 @@
 
 namespace gateway::server {
 
-// Serves the clients at one address. Each request that is passed on is owed one final response, complete or
-// streamed.
+// Serves the clients at one address. The owner has to respond exactly once to each request that it receives,
+// with a complete or a streamed response.
 class ClientServer final : private ClientConnectionOwner {
   public:
     struct Callbacks {
         std::function<void(ClientRequest&&)> on_request;
-        // The connection closed before the request had its response.
+        // The connection closed before the request was answered.
         std::function<void(std::uint64_t id)> on_disconnected;
         // Whether the health endpoint, /_health, reports success.
         std::function<bool()> ready;
-        // What has been given of a streamed response is written: the next piece can be given.
+        // All pieces passed so far of a streamed response have been written: the next one can be sent.
         std::function<void(std::uint64_t id)> on_piece_written = {};
-        // `request`: the one in flight; 0: none. Called before `on_disconnected`.
+        // A connection closed. `request`: the id of its request in flight; 0: none. Called before
+        // `on_disconnected`.
         std::function<void(ClientCloseReason cause, std::uint64_t request)> on_closed = {};
     };
 
-    // Takes a connection that is between two requests, what has been read of its next request, and whether
-    // that is its first.
-    using Pass = std::function<void(Descriptor&&, std::string&& unread, bool first)>;
+    // Receives a connection that is between two requests, the bytes that were read of its next request, and
+    // whether that request is the first on the connection.
+    using HandOverConnection = std::function<void(Descriptor&&, std::string&& unread, bool first_request)>;
 
-    // `most_bytes`: the limit of all requests' bodies in memory together. `listener`: a socket that listens
-    // already, from another process; none: one is bound here. Throws boost::system::system_error where the
-    // address can't be bound.
+    // `max_body_bytes`: the limit for the bodies of all requests in memory together. `listener`: a listening
+    // socket inherited from another process; if empty, the constructor binds one. Throws
+    // boost::system::system_error if the address cannot be bound.
     ClientServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen,
-                 SocketBudget& budget, std::size_t most_bytes, Callbacks callbacks,
+                 SocketBudget& budget, std::size_t max_body_bytes, Callbacks callbacks,
                  Descriptor&& listener = {});
     ~ClientServer();
     ClientServer(const ClientServer&) = delete;
     ClientServer& operator=(const ClientServer&) = delete;
 
-    // Writes the response. Does nothing for a request that has had one or whose client has left.
+    // Writes a complete response. Has no effect if the request has been answered or its client has
+    // disconnected.
     void answer(std::uint64_t id, Answer&& answer);
-    // The same for a request that is rejected: the next one on its connection is parsed after a pause.
+    // Writes the response to a rejected request. The next request on its connection is parsed after a pause.
     void reject(std::uint64_t id, Answer&& answer);
 
-    // Writes a response in pieces. Each further piece is given after `on_piece_written`, except for the last,
-    // which may be given before it.
+    // Streams a response. Each further piece has to wait for `on_piece_written`, except for the last one.
     void begin_response(std::uint64_t id, Answer&& first);
     void send_piece(std::uint64_t id, std::string&& piece);
     void end_response(std::uint64_t id, std::string&& last);
-    // No more of the response comes: closes the connection so that the client can tell.
+    // Ends a streamed response that cannot be completed: closes the connection so that the client notices it.
     void abort_response(std::uint64_t id);
 
-    // Starts to parse requests. Connections are accepted before that, and the time of their requests runs.
+    // Starts to parse requests. Connections are accepted before this call, and the time until their requests
+    // expire already runs.
     void open();
-    // Starts a graceful shutdown: the health endpoint fails, responses end their connections, and idle
-    // connections are closed.
+    // Starts a graceful shutdown: the health endpoint reports failure, responses close their connections, and
+    // idle connections are closed.
     void drain();
-    // Does the same for as long as the process is on standby.
+    // Behaves as after `drain` while the process is on standby.
     void set_standby(bool enabled);
     [[nodiscard]] bool on_standby() const { return standby_; }
 
-    // A duplicate of the listening socket, for another process.
+    // Returns a duplicate of the listening socket for another process.
     [[nodiscard]] Descriptor share_listener() const { return listener_.share(); }
-    // Hands each connection over to another process as soon as it is between two requests, and accepts no
-    // further ones.
-    void hand_over(Pass pass);
-    // Ends the handover of connections and accepts again.
-    void take_back();
-    // Takes over a connection of another process, or closes it where no place is left for it.
-    void adopt(Descriptor&& socket, std::string_view unread, bool first);
-    // How many connections have a request in flight, which keeps them from being handed over.
+    // Hands each connection over to another process as soon as it is between two requests, and accepts no new
+    // connections.
+    void hand_over(HandOverConnection hand_over_connection);
+    // Ends the handover of connections and accepts new connections again.
+    void cancel_hand_over();
+    // Takes over a connection from another process, or closes it if the socket budget has no place for it.
+    void adopt(Descriptor&& socket, std::string_view unread, bool first_request);
+    // The number of connections with a request in flight, which cannot be handed over yet.
     [[nodiscard]] std::size_t connections_in_flight() const { return requests_in_flight_.size(); }
-    // Accepts the connections in the backlog, because the requests in them count as taken. Returns false
-    // where there were none and are none now.
+    // Accepts the connections in the backlog, because a client whose connection the kernel has accepted
+    // expects an answer. Returns whether there were any, or some are left.
     [[nodiscard]] bool accept_backlog() { return listener_.accept_backlog(); }
-    // Whether no connection has a request in flight, half read or unread, or a response half written.
+    // Whether no connection has a request in flight, a partly read or unread request, or a partly written
+    // response.
     [[nodiscard]] bool is_idle() const { return !connections_.any_busy(); }
     [[nodiscard]] boost::asio::ip::tcp::endpoint local_endpoint() const { return listener_.local_endpoint(); }
 
@@ -100,8 +103,8 @@
     bool accepts_requests() const override { return open_; }
     bool draining() const override;
     bool healthy() const override { return callbacks_.ready(); }
-    bool handing_over() const override { return static_cast<bool>(pass_); }
-    void on_handed_over(Descriptor&& socket, std::string&& unread, bool first) override;
+    bool handing_over() const override { return static_cast<bool>(hand_over_connection_); }
+    void on_handed_over(Descriptor&& socket, std::string&& unread, bool first_request) override;
     std::uint64_t next_request_id() override { return next_request_id_++; }
     void on_request(ClientConnection& connection, ClientRequest&& request) override;
     void on_pieces_written(std::uint64_t request) override;
@@ -113,21 +116,23 @@
     [[nodiscard]] ConnectionPointer make_connection(boost::asio::ip::tcp::socket&& socket,
                                                     SocketBudget::Place&& place,
                                                     Steady::time_point connected_by);
-    // The connection whose request is in flight under that id, if there is one.
+    // Returns the connection of a request in flight, or null.
     [[nodiscard]] ConnectionPointer find_in_flight(std::uint64_t id) const;
-    // The same, and the request is no longer in flight.
+    // Returns the connection of a request in flight, or null, and removes the request from those in flight.
     [[nodiscard]] ConnectionPointer take_in_flight(std::uint64_t id);
-    void sweep();
+    void check_timeouts();
 
     boost::asio::io_context& io_;
     SocketBudget& budget_;
     Callbacks callbacks_;
     ClientListener listener_;
-    boost::asio::steady_timer sweep_timer_;
-    Pass pass_;  // while another process takes the connections over
+    boost::asio::steady_timer timeout_check_timer_;
+    // Set while connections are being handed over to another process.
+    HandOverConnection hand_over_connection_;
     ByteBudget body_budget_;
     ClientConnectionSet connections_;
-    std::unordered_map<std::uint64_t, ClientConnection*> requests_in_flight_;  // by the request's id
+    // Keyed by request id.
+    std::unordered_map<std::uint64_t, ClientConnection*> requests_in_flight_;
     std::uint64_t next_request_id_ = 1;
     std::uint64_t next_connection_number_ = 1;
     bool open_ = false;
--- a/src/server/in_flight_requests.h
+++ b/src/server/in_flight_requests.h
@@ -15,35 +15,43 @@
 
 namespace gateway::server {
 
-// A request that waits for its final answer, or one that has it and still has attempts in flight.
+// A request without a final answer, or an answered one that still has attempts in flight.
 struct InFlightRequest {
-    Request message;                    // emptied once the request is answered
-    ByteBudget::Reservation body_room;  // the memory reserved for the message's body
+    // Emptied once the request is answered.
+    Request message;
+    // The reservation for the memory of the message's body.
+    ByteBudget::Reservation body_reservation;
     std::string trace_id;
-    Micros deadline{0};                    // clock time
-    int attempts_started = 0;              // also the number of the next attempt
-    int attempts_in_flight = 0;            // handed to the host pool and not ended
-    bool answered = false;                 // it has its final answer, or needs none
-    std::optional<int> streaming_attempt;  // the attempt whose answer is streamed to the client
+    // The time of `Clock` by which the request has to be answered.
+    Micros deadline{0};
+    // Also the number of the next attempt.
+    int attempts_started = 0;
+    // Attempts that the host pool has received and not ended.
+    int attempts_in_flight = 0;
+    // Whether the request has its final answer, or needs none because its client has disconnected.
+    bool answered = false;
+    // The attempt whose response is being streamed to the client.
+    std::optional<int> streaming_attempt;
 };
 
-// Owns the requests in flight, by id. Trace ids are unique among them, because a host could not tell the
-// copies of a request apart.
+// Owns the requests in flight, keyed by id. Trace ids are unique among them, because a host could not
+// distinguish two requests with the same one.
 class InFlightRequests {
   public:
-    // A reference stays valid until its request is erased.
+    // Adds a request. The reference is valid until the request is erased.
     InFlightRequest& add(decision::RequestId id, InFlightRequest&& request);
-    // Null if the request is not in flight.
+    // Returns null if the request is not in flight.
     [[nodiscard]] InFlightRequest* find(decision::RequestId id);
     [[nodiscard]] bool contains_trace_id(std::string_view trace_id) const;
     void erase(decision::RequestId id);
     [[nodiscard]] std::vector<decision::RequestId> unanswered() const;
-    // Includes answered requests with attempts in flight.
+    // The number of requests, including answered ones that have attempts in flight.
     [[nodiscard]] std::size_t size() const noexcept { return requests_.size(); }
 
   private:
     std::unordered_map<decision::RequestId, InFlightRequest> requests_;
-    std::unordered_set<std::string_view> trace_ids_;  // views into requests_
+    // Views into `requests_`.
+    std::unordered_set<std::string_view> trace_ids_;
 };
 
 }  // namespace gateway::server
--- a/src/server/request_handler.cpp
+++ b/src/server/request_handler.cpp
@@ -13,10 +13,10 @@
 using namespace std::chrono_literals;
 
 namespace {
-// RequestArrived::plan of a request without a plan.
+// The value of RequestArrived::plan for a request without a plan.
 constexpr int no_plan = -1;
 
-// In seconds, rounded up to milliseconds.
+// Formats the Retry-After header: seconds, rounded up to whole milliseconds.
 std::string format_retry_after(Micros retry_after) {
     char text[32];
     const double seconds = std::ceil(static_cast<double>(retry_after.count()) / 1e3) / 1e3;
@@ -24,7 +24,7 @@
     return text;
 }
 
-// Whether this process closes the connection for reasons of its own, rather than for what the client does.
+// Whether the gateway closed the connection on its own initiative rather than in reaction to the client.
 bool is_closed_by_gateway(ClientCloseReason reason) {
     return reason == ClientCloseReason::evicted || reason == ClientCloseReason::linger_timeout ||
            reason == ClientCloseReason::timeout || reason == ClientCloseReason::internal_error;
@@ -42,12 +42,11 @@
       listeners_(dependencies.listeners),
       validator_(dependencies.settings) {}
 
-// ---- clients ----
-
 void RequestHandler::on_request(ClientRequest&& request) {
     RequestAttributes attributes;
     std::optional<RequestError> error = validator_.validate(request.message, attributes);
-    // A host would see a second copy of a request in flight, and its answer could reach the wrong one.
+    // A host would receive two requests with the same trace id, and an answer could be sent to the wrong
+    // client.
     if (!error && requests_.contains_trace_id(attributes.trace_id))
         error = {http::status::conflict, "X-Trace-Id: expected one that is not open"};
     metrics_.request_received();
@@ -67,7 +66,7 @@
     event.set_start = attributes.set_start;
     InFlightRequest arrived;
     arrived.message = std::move(request.message);
-    arrived.body_room = std::move(request.room);
+    arrived.body_reservation = std::move(request.body_reservation);
     arrived.trace_id = std::move(attributes.trace_id);
     arrived.deadline = deadline;
     const InFlightRequest& added = requests_.add(request.id, std::move(arrived));
@@ -99,7 +98,7 @@
     if (request->answered) return;
     LogLine(LogLevel::debug, "client_disconnected").with("request", id).with("trace", request->trace_id);
     guard_.client_disconnected(id);
-    dispatcher_.dispatch_before(decision::ClientDisconnected{id}, [&] { close(id, *request); });
+    dispatcher_.dispatch_before(decision::ClientDisconnected{id}, [&] { finish_request(id, *request); });
 }
 
 void RequestHandler::on_piece_written(decision::RequestId id) {
@@ -120,8 +119,6 @@
         .with("reason", to_string(reason));
 }
 
-// ---- hosts ----
-
 void RequestHandler::on_attempt_ended(const HostPool::AttemptKey& key, const std::string& uid,
                                       HostResult&& result) {
     InFlightRequest* const request = requests_.find(key.request);
@@ -154,11 +151,12 @@
     if (!result.load_report.empty()) event.report = read_load_report(result.load_report);
     dispatcher_.dispatch_before(std::move(event), [&] {
         if (answers_request) answer(key.request, *request, std::move(result.answer));
-        else erase_if_over(key.request);
+        else erase_if_finished(key.request);
     });
 }
 
-// From here on the client determines how long the attempt takes: it ends with the host or the client.
+// From here on the speed of the client determines how long the attempt takes; it ends when the host has sent
+// everything or the client disconnects.
 bool RequestHandler::on_response_started(const HostPool::AttemptKey& key, const std::string& uid,
                                          HostResult&& result) {
     InFlightRequest* const request = requests_.find(key.request);
@@ -170,13 +168,11 @@
     metrics_.answered(result.answer.result_int());
     guard_.answered(key.request, clock_.now());
     dispatcher_.dispatch_before(decision::ResponseStarted{key.request, uid},
-                                [&] { close(key.request, *request); });
+                                [&] { finish_request(key.request, *request); });
     clients().begin_response(key.request, std::move(result.answer));
     return true;
 }
 
-// ---- actions ----
-
 void RequestHandler::execute(const decision::SendAttempt& action) {
     InFlightRequest* const request = requests_.find(action.id);
     if (request == nullptr) return;
@@ -251,8 +247,6 @@
     pool_.cancel({action.id, action.attempt});
 }
 
-// ---- the end of a request ----
-
 void RequestHandler::answer(decision::RequestId id, InFlightRequest& request, Answer&& answer) {
     if (request.answered) return;
     const Micros now = clock_.now();
@@ -263,22 +257,22 @@
         .with("left", request.deadline - now);
     metrics_.answered(answer.result_int());
     guard_.answered(id, now);
-    close(id, request);
+    finish_request(id, request);
     clients().answer(id, std::move(answer));
 }
 
-// The request has its final answer, or needs none. While attempts are in flight its trace id stays reserved,
-// because a host may still hold the request. Unsent attempts are withdrawn, because a connection that comes
-// up late would carry the request to a host after its end.
-void RequestHandler::close(decision::RequestId id, InFlightRequest& request) {
+// Marks the request as answered or as needing no answer. While attempts are in flight its trace id stays
+// reserved, because a host may still be processing the request. Unsent attempts are cancelled, because a
+// connection that is established late would otherwise carry the request to a host after its end.
+void RequestHandler::finish_request(decision::RequestId id, InFlightRequest& request) {
     request.answered = true;
     request.message = {};
-    request.body_room.release();
+    request.body_reservation.release();
     if (request.attempts_in_flight > 0) pool_.cancel_unsent(id);
-    erase_if_over(id);
+    erase_if_finished(id);
 }
 
-void RequestHandler::erase_if_over(decision::RequestId id) {
+void RequestHandler::erase_if_finished(decision::RequestId id) {
     const InFlightRequest* const request = requests_.find(id);
     if (request == nullptr || !request->answered || request->attempts_in_flight > 0) return;
     guard_.forget(id);
@@ -286,21 +280,22 @@
 }
 
 void RequestHandler::on_deadline(decision::RequestId id) {
-    // The module answers before the deadline; a request that it has lost must not hang.
+    // The decision module normally answers before the deadline. A request that the module has lost track of
+    // because of a fault must still be answered.
     InFlightRequest* const request = requests_.find(id);
     if (request == nullptr || request->answered) return;
     LogLine(LogLevel::error, "no_decision_by_deadline").with("request", id).with("trace", request->trace_id);
-    give_up(id, *request);
+    fail_with_timeout(id, *request);
 }
 
 void RequestHandler::fail_unanswered() {
     for (const decision::RequestId id : requests_.unanswered()) {
         InFlightRequest* const request = requests_.find(id);
-        if (request != nullptr && !request->answered) give_up(id, *request);
+        if (request != nullptr && !request->answered) fail_with_timeout(id, *request);
     }
 }
 
-void RequestHandler::give_up(decision::RequestId id, InFlightRequest& request) {
+void RequestHandler::fail_with_timeout(decision::RequestId id, InFlightRequest& request) {
     answer(id, request, make_answer(http::status::gateway_timeout));
     dispatcher_.dispatch(decision::ClientDisconnected{id});
 }
--- a/src/server/request_handler.h
+++ b/src/server/request_handler.h
@@ -1,4 +1,4 @@
-// The course of each request, from its arrival to its final answer and the end of its last attempt.
+// The processing of each request, from its arrival to its final answer and the end of its last attempt.
 #pragma once
 
 #include <string>
@@ -17,12 +17,13 @@
 
 namespace gateway::server {
 
-// Turns what clients and hosts do into the decision module's events, and carries out the module's actions on
-// requests. Checks each action with the rule guard first, so that a fault of the module does not break a
-// promise to a client.
+// Converts the events of client and host connections into events of the decision module, and carries out the
+// module's actions on requests. Checks each action with the rule guard first, so that a fault of the module
+// cannot break a promise to a client.
 class RequestHandler {
   public:
-    // The parts it works with; all must outlive it, but need not be constructed yet.
+    // The components that the handler uses. All must outlive the handler, but need not be constructed before
+    // it.
     struct Dependencies {
         const Clock& clock;
         const decision::Settings& settings;
@@ -35,25 +36,25 @@
     };
     explicit RequestHandler(const Dependencies& dependencies);
 
-    // From clients.
+    // Events of client connections.
     void on_request(ClientRequest&& request);
     void on_client_disconnected(decision::RequestId id);
-    // The last piece of a streamed answer has been written.
+    // All pieces so far of a streamed response have been written to the client.
     void on_piece_written(decision::RequestId id);
-    // `id`: of the unanswered request of the closed connection; 0: none.
+    // `id`: the unanswered request on the closed connection; 0: none.
     void on_client_closed(ClientCloseReason reason, decision::RequestId id);
 
-    // From hosts.
+    // Events of host connections.
     void on_attempt_ended(const HostPool::AttemptKey& key, const std::string& uid, HostResult&& result);
-    // A streamed answer begins. False: the client needs it no more.
+    // A streamed response begins. Returns false if the request needs no answer any more.
     [[nodiscard]] bool on_response_started(const HostPool::AttemptKey& key, const std::string& uid,
                                            HostResult&& result);
 
-    // Answers a request that the decision module has not answered by its deadline.
+    // Answers a request with 504 if the decision module has not answered it by its deadline.
     void on_deadline(decision::RequestId id);
     // Answers each unanswered request with 504.
     void fail_unanswered();
-    // Includes answered requests with attempts in flight.
+    // The number of requests in flight, including answered ones that have attempts in flight.
     [[nodiscard]] std::size_t in_flight() const noexcept { return requests_.size(); }
 
     // Actions of the decision module.
@@ -66,9 +67,9 @@
     void reject_invalid(decision::RequestId id, const RequestError& error);
     void report_not_sent(const decision::SendAttempt& action, int attempt, bool answered);
     void answer(decision::RequestId id, InFlightRequest& request, Answer&& answer);
-    void close(decision::RequestId id, InFlightRequest& request);
-    void erase_if_over(decision::RequestId id);
-    void give_up(decision::RequestId id, InFlightRequest& request);
+    void finish_request(decision::RequestId id, InFlightRequest& request);
+    void erase_if_finished(decision::RequestId id);
+    void fail_with_timeout(decision::RequestId id, InFlightRequest& request);
     [[nodiscard]] ClientServer& clients() { return *listeners_.clients(); }
 
     const Clock& clock_;
--- a/src/server/socket_budget.h
+++ b/src/server/socket_budget.h
@@ -1,4 +1,4 @@
-// Limits how many sockets the process holds, for clients and hosts together.
+// A limit on the sockets of the process, for clients and hosts together.
 #pragma once
 
 #include <array>
@@ -9,17 +9,17 @@
 
 namespace gateway::server {
 
-// A limit on sockets. Guards against running out of descriptors: each socket needs a place in the budget
-// before it is opened, and where none is left, an idle connection is evicted for it. Neither side can take
-// all places, so that clients can't starve the connections to the hosts. Outlives its places.
+// A limit on open sockets. Guards against running out of descriptors: each socket needs a place in the budget
+// before it is opened, and if none is left, an idle connection is evicted to free one. Neither side can take
+// all places, so that clients cannot starve the connections to the hosts. The budget must outlive its places.
 class SocketBudget {
   public:
     enum class Side : std::size_t { client, host };
 
-    // The right to hold one socket. Gives its place back at its end.
+    // The right to hold one socket. The destructor returns the place to the budget.
     class Place {
       public:
-        // Holds no place.
+        // Constructs an empty object that holds no place.
         Place() = default;
         Place(Place&& other) noexcept : budget_(std::exchange(other.budget_, nullptr)), side_(other.side_) {}
         Place& operator=(Place&& other) noexcept {
@@ -28,7 +28,7 @@
             return *this;
         }
         ~Place() { release(); }
-        // Gives the place back early. Does nothing where it holds none.
+        // Returns the place to the budget before the destructor does. Has no effect if no place is held.
         void release() {
             if (SocketBudget* const budget = std::exchange(budget_, nullptr)) budget->free(side_);
         }
@@ -44,7 +44,7 @@
     explicit SocketBudget(std::size_t sockets)
         : limit_(sockets), limit_per_side_(limit_per_side_of(sockets)) {}
 
-    // Takes a place; returns none where the limit is reached and no idle connection can be evicted.
+    // Takes a place. Returns an empty optional if the limit is reached and no idle connection can be evicted.
     [[nodiscard]] std::optional<Place> take(Side side) {
         std::size_t& held_by_side = held_[index_of(side)];
         if (held_by_side >= limit_per_side_ && !evict_one(side)) return std::nullopt;
@@ -53,21 +53,22 @@
         ++held_by_side;
         return Place(*this, side);
     }
-    // Sets the callback that closes an idle connection of that side and returns whether there was one.
+    // Sets the callback that closes an idle connection of `side`. The callback returns false if there is
+    // none.
     void on_shortage(Side side, std::function<bool()> evict_one) {
         evict_one_[index_of(side)] = std::move(evict_one);
     }
-    // Sets the callback that is called whenever a place may have come free.
+    // Sets the callback that is called whenever a place may have become free.
     void on_freed(std::function<void()> freed) { freed_ = std::move(freed); }
-    // The limit for both sides together.
-    [[nodiscard]] std::size_t most() const { return limit_; }
-    // Changes the limit, because two processes share it during an upgrade.
+    // Returns the limit for both sides together.
+    [[nodiscard]] std::size_t limit() const { return limit_; }
+    // Changes the limit, because the two processes of an upgrade share the descriptors.
     void set_limit(std::size_t sockets) {
         limit_ = sockets;
         limit_per_side_ = limit_per_side_of(sockets);
         if (freed_) freed_();
     }
-    // How many sockets that side holds.
+    // Returns the number of sockets that `side` holds.
     [[nodiscard]] std::size_t in_use(Side side) const { return held_[index_of(side)]; }
 
   private:
@@ -85,8 +86,9 @@
 
     std::size_t limit_;
     std::size_t limit_per_side_;
-    std::array<std::size_t, 2> held_{};               // by side
-    std::array<std::function<bool()>, 2> evict_one_;  // by side
+    // Both arrays are indexed by side.
+    std::array<std::size_t, 2> held_{};
+    std::array<std::function<bool()>, 2> evict_one_;
     std::function<void()> freed_;
 };
 
--- a/src/server/upgrade_coordinator.cpp
+++ b/src/server/upgrade_coordinator.cpp
@@ -13,11 +13,12 @@
 
 namespace {
 constexpr std::size_t snapshot_chunk_bytes = 32 * 1024;
-// What the predecessor may still open for further attempts, beyond the sockets in use.
+// The number of sockets that the predecessor may open for further attempts, in addition to the sockets in
+// use.
 constexpr std::size_t sockets_for_further_attempts = 16;
 
-// The same for each process of one gateway, and for no other gateway's. std::hash stays, because processes of
-// earlier releases look for the name that it gives.
+// Returns a name that is the same for each process of one gateway, and different for other gateways. It must
+// remain computed with std::hash, because processes of earlier releases look for the resulting name.
 std::string handover_name(const Config& config) {
     const std::string identity =
         config.name + ' ' + config.listen.address().to_string() + ' ' + std::to_string(config.listen.port());
@@ -30,7 +31,7 @@
 
 UpgradeCoordinator::UpgradeCoordinator(boost::asio::io_context& io, const Dependencies& dependencies)
     : budget_(dependencies.budget),
-      total_sockets_(dependencies.budget.most()),
+      total_sockets_(dependencies.budget.limit()),
       dispatcher_(dependencies.dispatcher),
       hosts_(dependencies.hosts),
       pool_(dependencies.pool),
@@ -68,7 +69,8 @@
     listeners_.open(std::move(inherited.client_listener), std::move(inherited.peer_socket));
 }
 
-// Everything in one step: no request is received in between, so that none is decided on by both processes.
+// Hands everything over in one step of the event loop: no request can arrive in between, so that both
+// processes never decide on the same one.
 void UpgradeCoordinator::hand_over(HandoverChannel& successor) {
     dispatcher_.dispatch(decision::HandedOver{true});
     const std::size_t sockets_kept =
@@ -95,10 +97,12 @@
 }
 
 void UpgradeCoordinator::send_connections(HandoverChannel& successor) {
-    // Connections of clients follow as their requests end, when the channel may have been closed.
+    // Client connections with a request in flight follow as their requests end. The lambda shares the
+    // ownership of the channel, which may have been closed by then.
     const auto channel = successor.shared_from_this();
-    listeners_.clients()->hand_over([channel](Descriptor&& socket, std::string&& unread, bool first) {
-        channel->send(Kind::client_connection, (first ? '1' : '0') + std::move(unread), std::move(socket));
+    listeners_.clients()->hand_over([channel](Descriptor&& socket, std::string&& unread, bool first_request) {
+        channel->send(Kind::client_connection, (first_request ? '1' : '0') + std::move(unread),
+                      std::move(socket));
     });
     pool_.hand_over([&successor](Descriptor&& socket, const std::string& uid, Micros idle_for) {
         successor.send(Kind::host_connection, std::to_string(idle_for.count()) + ' ' + uid,
@@ -106,12 +110,12 @@
     });
 }
 
-// Also while this process drains, because no other process serves what arrives meanwhile.
+// Applies also while this process drains, because no other process serves the requests that arrive meanwhile.
 void UpgradeCoordinator::resume_serving() {
     budget_.set_limit(total_sockets_);
     dispatcher_.dispatch(decision::HandedOver{false});
     if (PeerLink* const peers = listeners_.peers()) peers->listen(true);
-    listeners_.clients()->take_back();
+    listeners_.clients()->cancel_hand_over();
 }
 
 void UpgradeCoordinator::adopt_connection(HandoverMessage&& connection) {
--- a/src/server/upgrade_coordinator.h
+++ b/src/server/upgrade_coordinator.h
@@ -1,4 +1,4 @@
-// Hands the gateway's sockets and state to a successor process, and takes a predecessor's over.
+// Hands over the gateway's sockets and state to a successor process, and takes over those of a predecessor.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,12 +14,12 @@
 
 namespace gateway::server {
 
-// Connects the upgrade protocol with the parts of the gateway that are handed over: listeners, connections,
-// bans, standby, known host names and the decision module's snapshot. The two processes share the limit of
-// descriptors meanwhile.
+// Connects the upgrade protocol with the components whose state is handed over: listeners, connections, bans,
+// standby, known host names and the decision module's snapshot. During an upgrade, the two processes share
+// the limit on descriptors.
 class UpgradeCoordinator {
   public:
-    // All must outlive the coordinator, but need not be constructed before `begin`.
+    // All dependencies must outlive the coordinator, but need not be constructed before `begin`.
     struct Dependencies {
         const Config& config;
         SocketBudget& budget;
@@ -30,17 +30,18 @@
     };
     UpgradeCoordinator(boost::asio::io_context& io, const Dependencies& dependencies);
 
-    // Waits for a predecessor to hand over, or serves at once where there is none. Throws ConfigError if an
-    // address can't be bound.
+    // Waits for a predecessor's handover, or serves at once if there is no predecessor. Throws ConfigError if
+    // an address cannot be bound.
     void begin();
-    // This process is able to serve from now on.
+    // Declares this process ready to serve.
     void ready_to_serve();
-    // Operators' calls, which hold for both processes of an upgrade.
+    // Both functions pass an operator's call on to the other process of an upgrade, because it applies to
+    // both.
     void notify_ban(const std::string& uid, bool banned);
     void notify_standby(bool standby);
-    // Keeps the decision module's snapshot until it is sent.
+    // Stores the decision module's snapshot until it is sent to the successor.
     void save_snapshot(std::string&& snapshot) { snapshot_ = std::move(snapshot); }
-    // Whether messages to the successor are still to be sent.
+    // Whether messages to the successor are still queued.
     [[nodiscard]] bool is_delivering() const noexcept { return upgrade_.is_delivering(); }
 
   private:
@@ -54,7 +55,8 @@
     void apply_notification(const HandoverMessage& notification);
 
     SocketBudget& budget_;
-    const std::size_t total_sockets_;  // of the budget while no other process has a share of it
+    // The budget's limit while no other process has a share of the descriptors.
+    const std::size_t total_sockets_;
     EventDispatcher& dispatcher_;
     HostManager& hosts_;
     HostPool& pool_;
