--- a/src/server/clock.h
+++ b/src/server/clock.h
@@ -1,5 +1,5 @@
-// The gateway's clock: monotonic, and anchored once to Unix time, so that hosts' boot times are comparable
-// with it.
+// The gateway's clock: monotonic, and anchored once to Unix time, so that it can be compared with the boot
+// times that hosts report.
 #pragma once
 
 #include <chrono>
@@ -9,13 +9,13 @@
 using Steady = std::chrono::steady_clock;
 using Micros = std::chrono::microseconds;
 
-// Counts microseconds from the Unix time of its construction. A host's boot time needs no conversion and
-// stays the same each time it is reported.
+// Returns Unix time in microseconds, as it was at construction plus the monotonic time since then. A host's
+// boot time therefore needs no conversion and stays the same each time it is reported.
 class Clock {
   public:
-    // Never goes back.
+    // Returns the current time, which never decreases.
     [[nodiscard]] Micros now() const { return at(Steady::now()); }
-    // The clock time at a time of the steady clock.
+    // Converts a time of the steady clock to a time of this clock.
     [[nodiscard]] Micros at(Steady::time_point when) const {
         return anchor_ + std::chrono::duration_cast<Micros>(when - start_);
     }
--- a/src/server/config.cpp
+++ b/src/server/config.cpp
@@ -15,7 +15,7 @@
 
 using Steady = std::chrono::steady_clock;
 using namespace std::chrono_literals;
-// How long the start retries a file that can't be read, and how often.
+// At the start of the process, an unreadable file is retried for up to this time, at this interval.
 constexpr std::chrono::milliseconds max_read_time = 1s;
 constexpr std::chrono::milliseconds read_retry_interval = 20ms;
 constexpr std::size_t min_sockets = 64;
@@ -36,7 +36,8 @@
     if (const auto element = json::optional_key(root, key)) return std::string(json::as_text(*element, key));
     const char* const value = environment(variable);
     if (value == nullptr)
-        json::throw_bad_value(std::string(key) + " is missing", "it here or in " + std::string(variable));
+        json::throw_bad_value(std::string(key) + " is missing",
+                              "this key or the environment variable " + std::string(variable));
     return value;
 }
 
@@ -58,9 +59,9 @@
     if (const auto memory = json::optional_key(limits, "memory_mb"))
         config.memory_mb = json::as_unsigned(*memory, "limits.memory_mb");
     if (config.sockets < min_sockets)
-        json::throw_bad_value("limits.sockets", std::to_string(min_sockets) + " descriptors at least");
+        json::throw_bad_value("limits.sockets", std::to_string(min_sockets) + " file descriptors or more");
     if (config.memory_mb < min_memory_mb)
-        json::throw_bad_value("limits.memory_mb", std::to_string(min_memory_mb) + " at least");
+        json::throw_bad_value("limits.memory_mb", std::to_string(min_memory_mb) + " MiB or more");
 }
 
 void read_peers(json::object root, Config& config) {
@@ -82,9 +83,9 @@
     if (config.max_poll_interval.count() < 0) json::throw_bad_value("askWithinUs", "a time of 0 or more");
     const json::object ceilings = json::as_object(json::required(settings, "ceilings"), "ceilings");
     json::read(ceilings, "connectTimeoutUs", config.connect_timeout);
-    json::read(ceilings, "connIdleUs", config.idle_limit);
+    json::read(ceilings, "connIdleUs", config.host_idle_timeout);
     if (config.connect_timeout.count() <= 0) json::throw_bad_value("connectTimeoutUs", "a time above 0");
-    if (config.idle_limit.count() <= 0) json::throw_bad_value("connIdleUs", "a time above 0");
+    if (config.host_idle_timeout.count() <= 0) json::throw_bad_value("connIdleUs", "a time above 0");
 }
 
 Config read(json::object root, const Environment& environment) {
--- a/src/server/config.h
+++ b/src/server/config.h
@@ -1,4 +1,4 @@
-// The configuration that the platform gives a gateway, from the environment and a JSON file.
+// The gateway's configuration, read from a JSON file and the environment.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,47 +17,58 @@
 namespace gateway::server {
 
 struct Config {
-    std::string name;  // of the gateway; unique on its machine
+    // The gateway's name, unique on its machine.
+    std::string name;
     boost::asio::ip::tcp::endpoint listen;
     boost::asio::ip::tcp::endpoint discovery;
-    std::optional<boost::asio::ip::tcp::endpoint> admin_listen;  // none: no admin interface
-    std::optional<boost::asio::ip::udp::endpoint> peer_listen;   // none: no peer messages
-    std::optional<boost::asio::ip::udp::endpoint> all_peers;     // an address that reaches every peer
-    std::vector<boost::asio::ip::udp::endpoint> peers;           // by rank
+    // The address of the admin interface; empty: there is none.
+    std::optional<boost::asio::ip::tcp::endpoint> admin_listen;
+    // The address for peer messages; empty: the gateway neither sends nor receives any.
+    std::optional<boost::asio::ip::udp::endpoint> peer_listen;
+    // An address that reaches every peer at once; empty: messages go to each peer separately.
+    std::optional<boost::asio::ip::udp::endpoint> all_peers;
+    // The peers' addresses, indexed by rank.
+    std::vector<boost::asio::ip::udp::endpoint> peers;
     std::uint64_t seed = 0;
-    // The folder in which the processes of an upgrade find each other; empty: upgrades hand nothing over.
+    // The folder in which the two processes of an upgrade find each other's socket. If empty, upgrades hand
+    // nothing over.
     std::string handover_folder;
-    std::size_t sockets = 1024;   // file descriptors that the process may hold
-    std::size_t memory_mb = 192;  // memory limit in MiB, beyond which the process is killed
+    // The maximum number of file descriptors that the process may hold.
+    std::size_t sockets = 1024;
+    // The memory limit in MiB, beyond which the process is killed.
+    std::size_t memory_mb = 192;
     EndpointList initial_endpoints;
-    bool lists_pushed = true;  // false: lists are polled from discovery, at a cost
-    // Discovery regards changes as delivered to a gateway that has neither a watch nor a call for so long;
-    // after a failed call, for four times as long. 0: not set.
+    // Whether discovery pushes endpoint lists to the gateway. If false, the gateway polls discovery for them,
+    // and each poll has a cost.
+    bool lists_pushed = true;
+    // Discovery regards changes as delivered to a gateway that has had neither a watch nor a poll for this
+    // long, or, after a failed poll, for four times as long. 0: not set.
     std::chrono::microseconds max_poll_interval{0};
     decision::Settings settings;
-    // From the settings file, but of no concern to the decision module.
+    // The following values stand in the settings, but the decision module does not use them.
     std::chrono::microseconds connect_timeout{std::chrono::milliseconds(250)};
-    std::chrono::microseconds idle_limit{std::chrono::seconds(30)};  // of a connection to a host
+    // How long a connection to a host may be idle before it is closed.
+    std::chrono::microseconds host_idle_timeout{std::chrono::seconds(30)};
 };
 
-// The configuration is invalid. The message is one plain line: the key that is wrong and what was expected.
+// The configuration is invalid. The message is one line that names the invalid key and the expected value.
 struct ConfigError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// The file can't be read, which may be temporary.
+// The configuration file cannot be read, which may be a temporary condition.
 struct ConfigUnreadable : ConfigError {
     using ConfigError::ConfigError;
 };
 
-// Returns the value of an environment variable, or null.
+// Returns the value of an environment variable, or null if it is not set.
 using Environment = std::function<const char*(const char* name)>;
 
-// Reads the file that BALANCER_CONFIG names; keys that it omits are taken from the environment. Throws
-// ConfigError.
+// Reads the file that BALANCER_CONFIG names. The name and addresses that the file omits are read from the
+// environment. Throws ConfigError.
 [[nodiscard]] Config load_config(const Environment& environment);
-// Retries a file that can't be read for a second, because at the start there is no previous configuration.
-// Blocks meanwhile. Throws ConfigError.
+// Like `load_config`, but retries an unreadable file for up to 1 s, because at the start there is no previous
+// configuration to keep. Blocks the thread meanwhile. Throws ConfigError.
 [[nodiscard]] Config load_config_at_start(const Environment& environment);
 // Parses the text of a configuration file. Throws ConfigError.
 [[nodiscard]] Config parse_config(const std::string& text, const Environment& environment);
--- a/src/server/config_reloader.cpp
+++ b/src/server/config_reloader.cpp
@@ -10,7 +10,8 @@
 using Steady = std::chrono::steady_clock;
 using namespace std::chrono_literals;
 
-// The previous discovery closes its connections 1.5 s after the signal, so the file is retried often.
+// The previous discovery server closes its connections 1.5 s after the signal, so the interval between
+// retries has to be much shorter.
 constexpr std::chrono::milliseconds retry_interval = 100ms;
 constexpr std::chrono::milliseconds max_retry_time = 5s;
 }  // namespace
--- a/src/server/config_reloader.h
+++ b/src/server/config_reloader.h
@@ -11,11 +11,13 @@
 
 namespace gateway::server {
 
-// A file that can't be read, or is invalid because it is half written, is retried for some seconds after the
-// signal. After that the current configuration stays in force.
+// Loads the configuration on each SIGHUP. A file that cannot be read, or is invalid because it is only partly
+// written, is retried for some seconds after the signal. If it is still invalid then, the current
+// configuration stays in force.
 class ConfigReloader {
   public:
-    // Calls `on_config` with each new configuration; an exception that it throws counts as an invalid file.
+    // Calls `on_config` with each new configuration. An exception from `on_config` is handled like an invalid
+    // file.
     ConfigReloader(boost::asio::io_context& io, Environment environment,
                    std::function<void(const Config&)> on_config);
 
--- a/src/server/containment.h
+++ b/src/server/containment.h
@@ -1,4 +1,4 @@
-// Keeps an exception in the handler of one connection from ending the process.
+// Limits the effect of an exception in a connection's handler to that connection.
 #pragma once
 
 #include <exception>
@@ -7,9 +7,9 @@
 
 namespace gateway::server {
 
-// Runs a handler of one connection. An exception from it (a buffer limit, memory exhaustion) is logged and
-// ends that connection alone: `close` is called, and the handler is not run further. `side` names the
-// connection's side in the log: "client" or "host".
+// Runs a handler of one connection. An exception from it, such as an exceeded buffer limit or exhausted
+// memory, is logged and closes only that connection: `close` is called. `side` names the connection's kind in
+// the log: "client" or "host".
 template <class Handler, class Close>
 void contain(const char* side, Handler handler, Close close) {
     try {
--- a/src/server/event_dispatcher.h
+++ b/src/server/event_dispatcher.h
@@ -11,20 +11,21 @@
 
 namespace gateway::server {
 
-// Hands events to the decision module one by one and its actions to `execute`. The module is never called
-// from within its own actions: an event that an action causes at once waits in the queue.
+// Passes events to the decision module one by one, and the actions that it returns to `execute`. The module
+// is never called recursively: an event that arises while an action is carried out waits in the queue.
 class EventDispatcher {
   public:
     using Execute = std::function<void(decision::Action&)>;
     using OnQueueEmpty = std::function<void()>;
 
-    // `gateway` and `clock` must outlive the dispatcher. `on_queue_empty` runs after the last queued event.
+    // `gateway` and `clock` must outlive the dispatcher. `on_queue_empty` is called each time the queue has
+    // been emptied.
     EventDispatcher(decision::Gateway& gateway, const Clock& clock, Execute execute,
                     OnQueueEmpty on_queue_empty);
 
     void dispatch(decision::Event&& event);
-    // Queues `event`, then runs `consequence`, so that the module sees the event before those that the
-    // consequence causes.
+    // Queues `event`, then runs `consequence`. The module thereby receives `event` before any events that
+    // `consequence` causes, but only after `consequence` has returned.
     template <class Consequence>
     void dispatch_before(decision::Event&& event, Consequence consequence) {
         queue_.push_back(std::move(event));
@@ -42,7 +43,8 @@
     Execute execute_;
     OnQueueEmpty on_queue_empty_;
     std::deque<decision::Event> queue_;
-    std::vector<decision::Action> actions_;  // of the event in hand; a member so that its memory is reused
+    // The actions for the current event. A member, so that its memory is reused.
+    std::vector<decision::Action> actions_;
     bool dispatching_ = false;
 };
 
--- a/src/server/graceful_shutdown.cpp
+++ b/src/server/graceful_shutdown.cpp
@@ -9,11 +9,11 @@
 using namespace std::chrono_literals;
 
 namespace {
-// New connections arrive for 0.4 s after SIGTERM; the listener stays open longer than that.
+// Clients still connect for 0.4 s after SIGTERM, so the listener stays open longer than that.
 constexpr std::chrono::milliseconds accept_time = 700ms;
 constexpr std::chrono::milliseconds check_interval = 20ms;
-// SIGKILL follows 0.7 s after the longest deadline, of which no more than 3 s count. Whatever is in flight by
-// then is answered with a margin before it.
+// SIGKILL follows the longest request deadline by 0.7 s, where at most 3 s of the deadline count. Requests
+// still in flight are answered this much earlier, as a safety margin.
 constexpr Micros max_counted_deadline = 3s;
 constexpr Micros margin_before_kill = 150ms;
 }  // namespace
@@ -56,8 +56,8 @@
 }
 
 void GracefulShutdown::check() {
-    // A client that never completes its request does not delay the end, and a request whose deadline is
-    // beyond the end is answered now.
+    // A client that never completes its request does not delay the shutdown, and a request whose deadline is
+    // later than the end of the shutdown is answered now.
     const bool time_over = clock_.now() >= latest_end_;
     if (time_over) requests_.fail_unanswered();
     ClientServer& clients = *listeners_.clients();
--- a/src/server/graceful_shutdown.h
+++ b/src/server/graceful_shutdown.h
@@ -1,4 +1,4 @@
-// The planned end of the process, on SIGTERM.
+// The graceful shutdown of the process on SIGTERM.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,11 +14,11 @@
 
 namespace gateway::server {
 
-// Drains the gateway: it serves what arrives for a while, answers what is in flight, and ends once nothing is
-// left or the time for it is over.
+// Drains the gateway: it serves new requests for a while, answers the requests in flight, and finishes once
+// none is left or the time limit is reached.
 class GracefulShutdown {
   public:
-    // All must outlive the shutdown.
+    // All dependencies must outlive the shutdown.
     struct Dependencies {
         const Clock& clock;
         const decision::Settings& settings;
@@ -29,8 +29,8 @@
     };
     GracefulShutdown(boost::asio::io_context& io, const Dependencies& dependencies);
 
-    // Calls `on_drained` once, at the end; at once if clients were never served. Stops `discovery`, which
-    // must live until then. Further calls do nothing.
+    // Starts the shutdown and calls `on_drained` once at its end, or immediately if the process has never
+    // served clients. Stops `discovery`, which must live until then. Further calls have no effect.
     void start(Discovery& discovery, std::function<void()> on_drained);
 
   private:
@@ -44,10 +44,12 @@
     Listeners& listeners_;
     RequestHandler& requests_;
     UpgradeCoordinator& upgrade_;
-    Discovery* discovery_ = nullptr;  // set by `start`
+    // Set by `start`.
+    Discovery* discovery_ = nullptr;
     std::function<void()> on_drained_;
     boost::asio::steady_timer timer_;
-    Micros latest_end_{0};  // clock time
+    // The time of `Clock` at which the shutdown ends at the latest.
+    Micros latest_end_{0};
 };
 
 }  // namespace gateway::server
--- a/src/server/handover.cpp
+++ b/src/server/handover.cpp
@@ -21,16 +21,18 @@
 
 namespace {
 constexpr std::size_t max_payload_bytes = 64 * 1024;
-constexpr auto accept_retry_interval = 20ms;  // after an accept that failed
-// While more descriptors are in transit than the kernel allows.
+// The delay before an accept is retried after a failure.
+constexpr auto accept_retry_interval = 20ms;
+// The delay before a send is retried, for example while more descriptors are in transit between processes
+// than the kernel allows.
 constexpr auto send_retry_interval = 5ms;
 constexpr int listen_backlog = 4;
-// The prefix of the socket's name. It stays letter for letter, although the name is no longer that of the
-// program, because processes of earlier releases have to be found, and have to find this one.
+// The prefix of the socket's file name. It must not change, although the program has another name now:
+// processes of earlier releases look for it, and this process has to find theirs.
 constexpr const char* socket_name_prefix = "spartrack-";
 
-// Addresses the socket through the open folder, because the folder's own path may be longer than the address
-// of a socket can be.
+// Addresses the socket through the open folder's entry in /proc, because the folder's own path may exceed the
+// maximum length of a Unix socket address.
 std::optional<sockaddr_un> address_in(const Descriptor& folder, const std::string& name) {
     sockaddr_un address{};
     address.sun_family = AF_UNIX;
@@ -57,7 +59,7 @@
     return Descriptor(number);
 }
 
-// `control` is the buffer for it, which must outlive the use of `header`.
+// `control` is the buffer for the descriptor; it must outlive the use of `header`.
 template <class Buffer>
 void attach_descriptor(msghdr& header, Buffer& control, const Descriptor& descriptor) {
     header.msg_control = control.data();
@@ -156,7 +158,8 @@
         }
         waiting_to_send_ = false;
         broken_ = true;
-        // Not from within the caller of `send`, because what it works with may end with this.
+        // The call is posted to the event loop, because it may destroy objects that the caller of `send`
+        // still uses.
         return asio::post(socket_.get_executor(), [self = shared_from_this()] { self->end(); });
     }
 }
@@ -195,7 +198,7 @@
     on_successor_ = std::move(on_successor);
     const Descriptor folder = open_folder(folder_);
     if (!folder) return;
-    // Bound under another name first and renamed then, so that a process that looks for the socket always
+    // The socket is bound under a temporary name and then renamed, so that a process that looks for it always
     // finds one.
     const std::string temporary_name = name_ + "-" + std::to_string(::getpid());
     const auto address = address_in(folder, temporary_name);
@@ -228,8 +231,8 @@
             on_successor_(std::make_shared<HandoverChannel>(io_, std::move(socket)));
             return accept();
         }
-        // Without descriptors a process that waits to be accepted would wake the event loop at once, again
-        // and again.
+        // If no descriptors are left, a successor that waits to be accepted would otherwise wake the event
+        // loop over and over.
         accept_retry_.expires_after(accept_retry_interval);
         accept_retry_.async_wait([this](error_code stopped) {
             if (!stopped) accept();
--- a/src/server/handover.h
+++ b/src/server/handover.h
@@ -1,4 +1,5 @@
-// The channel between the two processes of an upgrade: how they find each other, and their messages.
+// The channel between the two processes of an upgrade: how they find each other, and the messages that they
+// exchange.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,7 +17,7 @@
 class Descriptor {
   public:
     Descriptor() = default;
-    // A negative number stands for no descriptor, as in system calls.
+    // A negative number means that there is no descriptor, as in system calls.
     explicit Descriptor(int number) noexcept : number_(number) {}
     Descriptor(Descriptor&& other) noexcept : number_(other.release()) {}
     Descriptor& operator=(Descriptor&& other) noexcept {
@@ -24,7 +25,7 @@
         return *this;
     }
     ~Descriptor();
-    // Gives the ownership to the caller.
+    // Returns the descriptor and passes its ownership to the caller.
     int release() noexcept { return std::exchange(number_, none); }
     [[nodiscard]] int get() const noexcept { return number_; }
     explicit operator bool() const noexcept { return number_ >= 0; }
@@ -35,50 +36,67 @@
 };
 
 struct HandoverMessage {
-    // The letters go over the wire and stay as they are, because the two processes may be of different
+    // The values are part of the protocol and must not change, because the two processes may be of different
     // releases.
     enum class Kind : char {
-        greeting = 'h',           // the first of each side: the protocol version
-        takeover_request = 't',   // the successor is able to serve: the predecessor shall hand over
-        client_listener = 'l',    // with its descriptor
-        peer_socket = 'p',        // with its descriptor
-        snapshot = 's',           // a chunk of the decision module's snapshot
-        complete = 'd',           // the state is complete; the number of sockets that the predecessor keeps
-        client_connection = 'c',  // with its descriptor: a flag and what has been read of the next request
-        host_connection = 'o',    // with its descriptor: microseconds of idleness and the host's uid
-        ban = 'b',                // in both directions: the host's uid
-        unban = 'u',              // likewise
-        enter_standby = 'y',      // in both directions
-        leave_standby = 'a',      // likewise
-        known_host = 'n',         // the uid of a host that an endpoint list has named
+        // The first message in each direction. Payload: the protocol version.
+        greeting = 'h',
+        // The successor is ready to serve and requests the handover.
+        takeover_request = 't',
+        // The listening socket for clients, as a descriptor.
+        client_listener = 'l',
+        // The socket for peer messages, as a descriptor.
+        peer_socket = 'p',
+        // Payload: a chunk of the decision module's snapshot.
+        snapshot = 's',
+        // The predecessor has sent its complete state. Payload: the number of sockets that it keeps.
+        complete = 'd',
+        // A client connection, as a descriptor. Payload: '1' if its next request is its first one, else '0',
+        // followed by the bytes that have been read of the next request.
+        client_connection = 'c',
+        // An idle connection to a host, as a descriptor. Payload: how long it has been idle, in microseconds,
+        // a blank and the host's uid.
+        host_connection = 'o',
+        // An operator has banned a host; sent in both directions. Payload: the host's uid.
+        ban = 'b',
+        // An operator has unbanned a host; sent in both directions. Payload: the host's uid.
+        unban = 'u',
+        // An operator has started standby; sent in both directions.
+        enter_standby = 'y',
+        // An operator has ended standby; sent in both directions.
+        leave_standby = 'a',
+        // Payload: the uid of a host that an endpoint list has contained.
+        known_host = 'n',
     };
     Kind kind = Kind::greeting;
     std::string payload;
     Descriptor descriptor;
 };
 
-// A connection to the other process. Messages that can't be sent at once are queued in order. Keeps itself
-// alive while an operation of the event loop is pending.
+// A connection to the other process of an upgrade. Messages that cannot be sent at once are queued in order.
+// The channel keeps itself alive while an operation of the event loop is pending.
 class HandoverChannel : public std::enable_shared_from_this<HandoverChannel> {
   public:
     struct Callbacks {
         std::function<void(HandoverMessage&&)> on_message;
-        std::function<void()> on_end;  // the other process has ended, or has sent what is not a message
+        // The other process has ended, or has sent an invalid message.
+        std::function<void()> on_end;
     };
-    // `socket`: connected, non-blocking and of the kind SOCK_SEQPACKET.
+    // `socket`: a connected, non-blocking socket of type SOCK_SEQPACKET.
     HandoverChannel(boost::asio::io_context& io, Descriptor&& socket);
-    // Begins to receive. Required before anything that is sent fails.
+    // Starts to receive messages. Must be called before a send can fail, because a failed send calls
+    // `on_end`.
     void start(Callbacks callbacks);
     void send(HandoverMessage::Kind kind, std::string payload = {}, Descriptor&& descriptor = {});
-    // No callback is called any more.
+    // Closes the channel. No callback is called after this.
     void close();
-    // The messages that could not be sent, for use after the channel has ended.
+    // Moves out the messages that could not be sent, for use after the channel has ended.
     [[nodiscard]] std::deque<HandoverMessage> take_unsent() { return std::exchange(unsent_, {}); }
     [[nodiscard]] bool has_unsent() const { return !closed_ && !unsent_.empty(); }
 
   private:
     void receive();
-    // Whether there may be a further message to read.
+    // Receives one message. Returns whether there may be a further one to read.
     bool receive_one();
     void flush();
     [[nodiscard]] bool send_one(const HandoverMessage& message);
@@ -88,19 +106,22 @@
     boost::asio::steady_timer send_retry_;
     Callbacks callbacks_;
     std::deque<HandoverMessage> unsent_;
-    bool waiting_to_send_ = false;  // until the socket takes more
+    // Whether sending waits until the socket accepts more data.
+    bool waiting_to_send_ = false;
     bool closed_ = false;
-    bool broken_ = false;  // nothing can be sent any more
+    // Whether a send has failed for good.
+    bool broken_ = false;
 };
 
-// The socket in $TMPDIR on which a process listens for its successor.
+// The Unix socket in $TMPDIR on which a process listens for its successor.
 class HandoverSocket {
   public:
-    // `name` distinguishes gateways from each other. With an empty `folder` there is no such socket.
+    // `name` distinguishes the gateways of one machine. If `folder` is empty, there is no such socket:
+    // processes do not find each other.
     HandoverSocket(boost::asio::io_context& io, std::string folder, const std::string& name);
-    // Connects to the process that listens there; null if there is none.
+    // Connects to the process that listens on the socket. Returns null if there is none.
     [[nodiscard]] std::shared_ptr<HandoverChannel> find() const;
-    // Listens there from now on, in place of any other process. A failure is logged.
+    // Listens on the socket from now on, in place of any other process. A failure is logged.
     void wait(std::function<void(std::shared_ptr<HandoverChannel>)> on_successor);
     void stop();
 
@@ -109,7 +130,8 @@
 
     boost::asio::io_context& io_;
     std::string folder_;
-    std::string name_;  // of the socket within the folder
+    // The socket's file name within the folder.
+    std::string name_;
     boost::asio::posix::stream_descriptor listener_;
     boost::asio::steady_timer accept_retry_;
     std::function<void(std::shared_ptr<HandoverChannel>)> on_successor_;
--- a/src/server/http.h
+++ b/src/server/http.h
@@ -1,4 +1,4 @@
-// The HTTP message types of the gateway and the functions on them that clients' and hosts' connections share.
+// The HTTP message types of the gateway, and functions on them for the connections to clients and hosts.
 #pragma once
 
 #include <boost/beast/core/buffers_range.hpp>
@@ -12,18 +12,18 @@
 namespace gateway::server {
 namespace http = boost::beast::http;
 
-// Messages with the complete body in memory.
+// Messages that hold their complete body in memory.
 using Request = http::request<http::string_body>;
 using Answer = http::response<http::string_body>;
 
-// The limit of a message's header, in bytes.
+// The maximum size of a message's header, in bytes.
 constexpr std::size_t max_header_bytes = 16 * 1024;
-// A body up to this many bytes is held complete in memory; a longer response is streamed.
+// A body of up to this many bytes is held in memory completely; a longer response is streamed.
 constexpr std::size_t max_buffered_body_bytes = 64 * 1024;
-// The limit of a streamed response's body, in bytes.
+// The maximum size of a streamed response's body, in bytes.
 constexpr std::uint64_t max_streamed_body_bytes = 32ull * 1024 * 1024;
 
-// Appends the bytes of a Beast buffer sequence to `out` and returns how many there were.
+// Appends the bytes of a Beast buffer sequence to `out` and returns their number.
 template <class Buffers>
 std::size_t append_buffers(const Buffers& buffers, std::string& out) {
     std::size_t size = 0;
@@ -34,8 +34,9 @@
     return size;
 }
 
-// A Beast body type that holds only the part of the body not taken yet, because a long body must never be
-// complete in memory. Beast's own string_body would allocate as much as the header announces.
+// A Beast body type that holds only the part of the body that has not been consumed yet, because a long body
+// must never be held in memory completely. Beast's string_body would allocate as many bytes as the header
+// announces.
 struct StreamedBody {
     using value_type = std::string;
     static std::uint64_t size(const value_type& body) { return body.size(); }
@@ -64,7 +65,7 @@
     return std::string(size_line).append(piece).append("\r\n");
 }
 
-// Writes the complete message into `out`, which keeps its capacity from message to message.
+// Serializes the complete message into `out`. Reuses the capacity of `out`.
 template <bool is_request>
 void serialize(const http::message<is_request, http::string_body, http::fields>& message, std::string& out) {
     out.clear();
@@ -76,7 +77,7 @@
         });
 }
 
-// Writes only the message's header into `out`.
+// Serializes only the message's header into `out`.
 template <bool is_request>
 void serialize_header(const http::message<is_request, http::empty_body, http::fields>& message,
                       std::string& out) {
@@ -90,10 +91,10 @@
         });
 }
 
-// Whether a header that Beast has accepted leaves no doubt where its message ends (RFC 9112, section 6.3).
-// Beast accepts transfer codings that do not end in chunked, as if there were no body, and lengths that are
-// repeated or listed. Two readers can then see two ends, and the bytes between them could be smuggled in as a
-// request or a response of their own.
+// Whether a header that Beast has accepted determines unambiguously where its message ends (RFC 9112, section
+// 6.3). Beast accepts transfer codings that do not end in chunked, as if there were no body, and
+// Content-Length values that are repeated or listed. Two parsers can then disagree about the end, and the
+// bytes between the two ends could be smuggled in as a separate request or response.
 template <class Header>
 [[nodiscard]] bool has_unambiguous_length(const Header& header) {
     const auto codings = header.equal_range(http::field::transfer_encoding);
@@ -106,15 +107,15 @@
     return std::next(lengths.first) == lengths.second && text.find_first_not_of("0123456789") == text.npos;
 }
 
-// Whether the Content-Length of a parsed header is within the limit. Beast's own limit does not ensure that
-// in every version: for a response announced with 3 GB it allocated all of that and read on.
+// Whether the Content-Length of a parsed header is within the limit. Beast's own limit does not ensure this
+// in every version: for a response that announced 3 GB, it allocated all of that and continued to read.
 template <class Parser>
 [[nodiscard]] bool length_within_limit(const Parser& parser) {
     const auto length = parser.content_length();
     return !length || *length <= max_streamed_body_bytes;
 }
 
-// Removes the hop-by-hop fields, which concern one connection only and must not be forwarded.
+// Removes the hop-by-hop header fields, which apply to one connection only and must not be forwarded.
 template <class Fields>
 void strip_connection_fields(Fields& fields) {
     for (const http::field name :
@@ -123,7 +124,7 @@
         fields.erase(name);
 }
 
-// An HTTP/1.1 response of the gateway itself.
+// Returns an HTTP/1.1 response from the gateway itself.
 [[nodiscard]] inline Answer make_answer(http::status status, std::string text = {}) {
     Answer answer(status, 11);
     answer.body() = std::move(text);
--- a/src/server/listeners.cpp
+++ b/src/server/listeners.cpp
@@ -7,8 +7,8 @@
 namespace gateway::server {
 namespace {
 constexpr std::size_t bytes_per_mib = 1024 * 1024;
-// The share of the memory limit for clients' bodies is one in so many, because a body is held in its request
-// and for a while in the serialized message for its host.
+// The limit for client request bodies is the memory limit divided by this number, because a body is held in
+// its request and, for a while, also in the serialized message to its host.
 constexpr std::size_t body_memory_divisor = 8;
 }  // namespace
 
--- a/src/server/listeners.h
+++ b/src/server/listeners.h
@@ -1,4 +1,5 @@
-// The sockets on which the gateway serves: the clients' listener and the peers' datagram socket.
+// The sockets on which the gateway serves: the listening socket for clients and the datagram socket for
+// peers.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,8 +13,8 @@
 
 namespace gateway::server {
 
-// Owns both from the moment they are opened, which may be long after the start: during an upgrade the
-// previous process serves until it hands over.
+// Owns both sockets from `open` on. That may be long after the start of the process: during an upgrade, the
+// predecessor serves until it hands over.
 class Listeners {
   public:
     struct Callbacks {
@@ -23,19 +24,19 @@
     // `config` and `budget` must outlive the listeners.
     Listeners(boost::asio::io_context& io, const Config& config, SocketBudget& budget, Callbacks callbacks);
 
-    // Opens the peers' socket, then the clients'. Uses the descriptors of a previous process where they are
-    // given, and binds the configured addresses otherwise. Throws ConfigError if one can't be bound.
+    // Opens the peer socket, then the client listener. Uses the given descriptors of a predecessor, and binds
+    // the configured address for each one that is empty. Throws ConfigError if an address cannot be bound.
     void open(Descriptor&& client_listener, Descriptor&& peer_socket);
-    // Clients are accepted from now on, or from `open` on.
+    // Lets requests of clients be processed from now on, or from `open` on if that is later.
     void start_accepting();
     [[nodiscard]] bool accepting() const noexcept { return clients_ && may_accept_; }
-    // Standby: health checks fail and answers end their connections.
+    // On standby, clients' health checks fail and responses close their connections.
     void set_standby(bool standby);
     [[nodiscard]] bool standby() const noexcept { return standby_; }
 
-    // Null until `open`.
+    // Returns null before `open`.
     [[nodiscard]] ClientServer* clients() const noexcept { return clients_.get(); }
-    // Null until `open`, and without peers.
+    // Returns null before `open`, or if there are no peers.
     [[nodiscard]] PeerLink* peers() const noexcept { return peers_.get(); }
 
   private:
--- a/src/server/main.cpp
+++ b/src/server/main.cpp
@@ -1,4 +1,4 @@
-// The program api_gateway: start, signals and exit status.
+// The program api_gateway: its start, signals and exit status.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -13,12 +13,12 @@
 #include "runtime.h"
 
 namespace {
-// Descriptors reserved for what is neither a client's nor a host's connection: standard streams, event loop,
+// File descriptors reserved for everything except client and host connections: standard streams, event loop,
 // signals, listener, peer socket, discovery, the admin server and its connections, and those of a second
 // process during an upgrade.
 constexpr std::size_t reserved_descriptors = 48;
 
-// The lower of the configured limit and that of the system.
+// Returns the configured limit or the system's limit on descriptors, whichever is lower.
 std::size_t socket_limit(std::size_t configured) {
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY) return configured;
@@ -32,7 +32,7 @@
 
 int main() {
     std::signal(SIGPIPE, SIG_IGN);
-    // Until ConfigReloader takes it: the first configuration has not been read yet.
+    // SIGHUP is ignored until ConfigReloader handles it, because there is no configuration to reload yet.
     std::signal(SIGHUP, SIG_IGN);
     const auto environment = [](const char* name) -> const char* { return std::getenv(name); };
     gateway::server::set_log_level(environment("SPARTRACK_LOG"));
@@ -40,7 +40,8 @@
         const gateway::server::Config config = gateway::server::load_config_at_start(environment);
         const std::size_t sockets = socket_limit(config.sockets);
         gateway::server::SocketBudget budget(sockets_for_connections(sockets));
-        boost::asio::io_context io(BOOST_ASIO_CONCURRENCY_HINT_UNSAFE);  // one thread: no locks
+        // A single thread runs the event loop, so Asio needs no locks.
+        boost::asio::io_context io(BOOST_ASIO_CONCURRENCY_HINT_UNSAFE);
         boost::asio::signal_set signals(io, SIGTERM, SIGINT);
         gateway::server::Runtime runtime(io, budget, config);
         gateway::server::ConfigReloader reloader(
--- a/src/server/outcome.h
+++ b/src/server/outcome.h
@@ -1,4 +1,4 @@
-// How the ends of exchanges with hosts appear to the decision module.
+// Conversion of the outcomes of exchanges with hosts to those of the decision module.
 #pragma once
 
 #include "gateway/interface.h"
--- a/src/server/request_validator.cpp
+++ b/src/server/request_validator.cpp
@@ -9,16 +9,17 @@
 
 namespace gateway::server {
 namespace {
-// Trace ids have 16 digits. The bound limits the memory for those of the requests in flight.
+// Trace ids have 16 digits. This larger limit bounds the memory for the trace ids of requests in flight.
 constexpr std::size_t max_trace_id_length = 128;
 constexpr std::size_t customer_length = 16;
-constexpr std::uint64_t customer_limit = 1ull << 33;  // customers are numbers below this
+// Customer ids are numbers below this limit.
+constexpr std::uint64_t customer_limit = 1ull << 33;
 
 enum HeaderIndex : std::size_t { trace, qos, contract, client, expires, metering, second_try, header_count };
 constexpr std::array<std::string_view, header_count> header_names{
     "X-Trace-Id", "X-Qos", "X-Contract", "X-Client-Id", "X-Expires-In-Ms", "X-Metering", "X-Second-Try"};
 
-// The values of the headers above, as views into the request.
+// The values of the headers in `header_names`, as views into the request.
 struct Headers {
     std::array<std::string_view, header_count> values;
     std::array<bool, header_count> present{};
@@ -45,7 +46,7 @@
         if (field.name() != http::field::unknown) continue;
         const std::optional<std::size_t> index = find_header(field.name_string());
         if (!index) continue;
-        // It is uncertain which of two values the host or the next gateway would use.
+        // Different gateways and hosts could use different ones of two values.
         if (std::exchange(headers.present[*index], true))
             return bad_request(std::string(header_names[*index]) + ": expected once");
         headers.values[*index] = {field.value().data(), field.value().size()};
@@ -68,7 +69,7 @@
 
 std::optional<RequestError> read_customer(std::string_view text, RequestAttributes& attributes) {
     attributes.customer = text;
-    // A customer's lease holder is found by this text, so it has to be the same at every gateway.
+    // The customer's lease holder is determined from this text, so it must be the same at every gateway.
     for (char& digit : attributes.customer)
         digit = static_cast<char>(digit >= 'A' && digit <= 'F' ? digit - 'A' + 'a' : digit);
     std::uint64_t number = 0;
@@ -78,8 +79,8 @@
     return std::nullopt;
 }
 
-// `attributes.time_left` is the class's deadline before: no client waits longer, which also bounds what is
-// held for a request.
+// Expects the deadline of the request's class in `attributes.time_left` and lowers it to the header's value.
+// A higher value has no effect, which limits how long the gateway holds a request.
 std::optional<RequestError> read_expiry(std::string_view text, RequestAttributes& attributes) {
     std::int64_t milliseconds = 0;
     if (!read_number(text, milliseconds) || milliseconds < 0)
@@ -126,7 +127,8 @@
     if (found == classes_.end()) return bad_request("X-Qos: expected a known class");
     const RequestClass& request_class = found->second;
     attributes.request_class = request_class.index;
-    // The method follows from the class; a safe one has no body, in which another request could hide.
+    // The request class determines the method. A safe request must have no body, because a second request
+    // could be hidden in it.
     const bool is_head = request_class.is_safe && request.method() == http::verb::head;
     const http::verb expected_method = request_class.is_safe ? http::verb::get : http::verb::post;
     if (!is_head && request.method() != expected_method)
@@ -146,8 +148,8 @@
     return std::nullopt;
 }
 
-// Reads "units=2,spread=3,first=1". A request of no units is invalid, because it would pass every quota, and
-// hosts reject it.
+// Reads a value such as "units=2,spread=3,first=1". A request of 0 units is invalid, because it would pass
+// every quota, and hosts reject it.
 std::optional<RequestError> RequestValidator::read_metering(std::string_view text,
                                                             RequestAttributes& attributes) const {
     bool has_units = false;
--- a/src/server/request_validator.h
+++ b/src/server/request_validator.h
@@ -1,4 +1,4 @@
-// Validation of clients' requests before the decision module sees them.
+// The validation of client requests before they reach the decision module.
 #pragma once
 
 #include <chrono>
@@ -12,37 +12,46 @@
 
 namespace gateway::server {
 
-// What a request's own headers say, checked against the settings.
+// The attributes of a request, read from its headers and checked against the settings.
 struct RequestAttributes {
     std::string trace_id;
-    std::string customer;     // 16 lowercase hexadecimal digits
-    int request_class = 0;    // index into Settings::classes
-    std::optional<int> plan;  // index into Settings::plans; none if the settings have no plans
+    // The customer's id: 16 lowercase hexadecimal digits.
+    std::string customer;
+    // An index into Settings::classes.
+    int request_class = 0;
+    // An index into Settings::plans; empty if the settings have no plans.
+    std::optional<int> plan;
     double units = 1;
-    int set_size = 1;                        // gateways through which the customer's requests arrive
-    int set_start = 0;                       // rank of the first of them
-    std::chrono::microseconds time_left{0};  // from the request's arrival until its client gives up
+    // The number of gateways through which the customer's requests arrive.
+    int set_size = 1;
+    // The rank of the first of these gateways.
+    int set_start = 0;
+    // The time from the request's arrival until its client stops waiting.
+    std::chrono::microseconds time_left{0};
 };
 
-// Why a request is invalid.
+// The reason why a request is invalid.
 struct RequestError {
-    http::status status = http::status::bad_request;  // of the answer
-    std::string message;                              // the header that is wrong and what was expected
+    // The status of the response.
+    http::status status = http::status::bad_request;
+    // The invalid header and the expected value.
+    std::string message;
 };
 
-// Rejects requests that would be counted against a real customer's quota, or executed by a host, with
-// attributes that can't be right.
+// Rejects requests with invalid attributes, which would otherwise be charged to a real customer's quota or
+// executed by a host.
 class RequestValidator {
   public:
     explicit RequestValidator(const decision::Settings& settings);
-    // Fills `attributes` from the request. If the request is invalid, returns why, and `attributes` is filled
-    // in part only.
+    // Fills `attributes` from the request. If the request is invalid, returns the error, and `attributes` is
+    // only partly filled.
     [[nodiscard]] std::optional<RequestError> validate(const Request& request,
                                                        RequestAttributes& attributes) const;
 
   private:
     struct RequestClass {
-        int index;  // into Settings::classes
+        // An index into Settings::classes.
+        int index;
         bool is_safe;
         std::chrono::microseconds deadline;
     };
@@ -56,7 +65,8 @@
     std::unordered_map<std::string, RequestClass> classes_;  // by name
     std::unordered_map<std::string, int> plans_;             // by name
     int instances_;
-    double max_units_;  // of one request
+    // The maximum units of one request.
+    double max_units_;
 };
 
 }  // namespace gateway::server
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -13,7 +13,8 @@
 using namespace std::chrono_literals;
 
 namespace {
-// How long clients wait for discovery's first answer; the configured endpoint list serves after that.
+// How long requests are held back for discovery's first endpoint list. After that, the gateway serves with
+// the list from the configuration.
 constexpr auto initial_list_time = 500ms;
 
 template <class... Overloads>
@@ -36,7 +37,7 @@
       hosts_(guard_, dispatcher_, pool_),
       requests_({clock_, config_.settings, guard_, metrics_, dispatcher_, timers_, pool_, listeners_}),
       initial_list_timeout_(io),
-      pool_(io, budget, config.connect_timeout, config.idle_limit, host_callbacks()),
+      pool_(io, budget, config.connect_timeout, config.host_idle_timeout, host_callbacks()),
       listeners_(io, config_, budget,
                  {client_callbacks(),
                   [this](int from, std::string_view bytes) {
@@ -53,8 +54,6 @@
     upgrade_.begin();
 }
 
-// ---- wiring ----
-
 HostPool::Callbacks Runtime::host_callbacks() {
     HostPool::Callbacks callbacks;
     callbacks.on_attempt = [this](const auto& key, const auto& uid, HostResult&& result) {
@@ -96,8 +95,8 @@
         hosts_.on_endpoint_list(list);
         on_initial_list_ready();
     };
-    // Where discovery is polled, the watch begins from the configured list: discovery serves half as many
-    // gateways if each begins with a call for the complete list.
+    // If discovery is polled, the watch begins from the version of the configured list: discovery can serve
+    // only half as many gateways if each begins with a call for the complete list.
     std::optional<std::int64_t> known_version;
     if (!config_.lists_pushed && !config_.initial_endpoints.endpoints.empty())
         known_version = config_.initial_endpoints.version;
@@ -107,15 +106,13 @@
         config_.seed, known_version);
 }
 
-// ---- actions ----
-
 void Runtime::execute(decision::Action& action) {
     std::visit(
         Visitor{
             [this](const decision::CheckHealth& check) { pool_.probe(check.host); },
             [this](const decision::SetTimer& timer) {
-                // On the grid of the tick, as in the simulator: timers that fall close together cost
-                // one wake-up.
+                // Rounded up to a multiple of the tick, as in the simulator: timers that are due close
+                // together cause a single wake-up.
                 const Micros tick = std::max(config_.settings.tick, 1us);
                 const Micros due = clock_.now() + std::max(timer.from_now, 1us);
                 timers_.add_timer((due / tick + 1) * tick, timer.token);
@@ -129,8 +126,6 @@
         action);
 }
 
-// ---- the first endpoint list ----
-
 void Runtime::start_initial_list_timeout() {
     initial_list_timeout_.expires_after(initial_list_time);
     initial_list_timeout_.async_wait([this](boost::system::error_code cancelled) {
@@ -138,15 +133,13 @@
     });
 }
 
-// Clients are accepted from here on, because with an outdated configured list a request could be sent to a
-// host that has left since.
+// Requests are processed only from here on, because with an outdated configured list, a request could be sent
+// to a host that has been removed since.
 void Runtime::on_initial_list_ready() {
     listeners_.start_accepting();
     upgrade_.ready_to_serve();
 }
 
-// ---- operators ----
-
 http::status Runtime::on_admin_call(const AdminCall& call) {
     switch (call.kind) {
         case AdminCall::Kind::status:
--- a/src/server/runtime.h
+++ b/src/server/runtime.h
@@ -1,4 +1,4 @@
-// The gateway process: connects the sockets with the decision module.
+// The gateway process: connects its sockets with the decision module.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -27,31 +27,31 @@
 
 namespace gateway::server {
 
-// Constructs the parts of the gateway, connects their callbacks and owns them. Works on the one thread that
-// runs `io`.
+// Constructs and owns the components of the gateway and connects their callbacks. Works only on the thread
+// that runs `io`.
 class Runtime {
   public:
-    // Looks for a predecessor process on the same addresses in the configuration's `handover_folder`.
-    // `budget` must outlive the runtime. Throws ConfigError if an address can't be bound, and
-    // std::invalid_argument if the settings can't work.
+    // Starts the gateway. First looks for a predecessor process with the same name and address, in the
+    // configuration's `handover_folder`. `budget` must outlive the runtime. Throws ConfigError if an address
+    // cannot be bound, and std::invalid_argument if the settings are inconsistent.
     Runtime(boost::asio::io_context& io, SocketBudget& budget, const Config& config);
     Runtime(const Runtime&) = delete;
     Runtime& operator=(const Runtime&) = delete;
 
-    // Applies what may change while the gateway runs: the address of discovery. The current endpoint list
-    // stays in use until the new discovery has sent its own.
+    // Applies the part of the configuration that may change at run time: the address of discovery. The
+    // current endpoint list stays in use until the new discovery server has sent its own.
     void reload(const Config& config);
-    // Begins a graceful shutdown and calls `on_drained` at its end.
+    // Starts a graceful shutdown and calls `on_drained` at its end.
     void drain(std::function<void()> on_drained);
-    // Whether the gateway accepts clients and has a ready host.
+    // Whether the gateway processes requests and has a ready host.
     [[nodiscard]] bool ready() const { return listeners_.accepting() && hosts_.has_ready_host(); }
-    // Requires that the gateway has been serving, which it is not while it waits for a predecessor.
+    // Requires that the gateway has started to serve; it has not while it waits for a predecessor's handover.
     [[nodiscard]] const ClientServer& clients() const { return *listeners_.clients(); }
-    // Null without peers.
+    // Returns null if there are no peers, or before the gateway has started to serve.
     [[nodiscard]] const PeerLink* peers() const { return listeners_.peers(); }
-    // Null without an admin interface.
+    // Returns null if there is no admin interface.
     [[nodiscard]] const AdminServer* admin_server() const { return admin_server_.get(); }
-    // In the text format of Prometheus.
+    // Returns the metrics in the Prometheus text format.
     [[nodiscard]] std::string metrics() const { return metrics_.text(guard_.violations()); }
 
   private:
@@ -64,7 +64,8 @@
     void on_initial_list_ready();
     http::status on_admin_call(const AdminCall& call);
 
-    // In the order of construction. The sockets come after what their callbacks use, so that they end first.
+    // In the order of construction. The members with sockets come after the members that their callbacks use,
+    // so that they are destroyed first.
     const Config config_;
     const Clock clock_;
     decision::Gateway gateway_;
--- a/src/server/shared_address.h
+++ b/src/server/shared_address.h
@@ -1,4 +1,4 @@
-// SO_REUSEPORT, with which two processes can bind the same address during an upgrade.
+// The socket option SO_REUSEPORT, which lets the two processes of an upgrade bind the same address.
 #pragma once
 
 #include <sys/socket.h>
@@ -6,6 +6,6 @@
 #include <boost/asio/detail/socket_option.hpp>
 
 namespace gateway::server {
-// For `set_option` of Asio's sockets, which offer no such option themselves.
+// An argument for `set_option` of Asio's sockets, which do not provide this option.
 using ReusePort = boost::asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 }  // namespace gateway::server
--- a/src/server/timer_queue.h
+++ b/src/server/timer_queue.h
@@ -1,4 +1,4 @@
-// The timers of the decision module and the deadlines of requests, on one timer of the event loop.
+// Schedules the timers of the decision module and the deadlines of requests with one timer of the event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,18 +13,21 @@
 
 namespace gateway::server {
 
-// A priority queue of clock times. Entries are never cancelled: the owner ignores those that no longer apply.
+// A priority queue of clock times. Entries are never cancelled: the owner has to ignore those that no longer
+// apply.
 class TimerQueue {
   public:
     struct Callbacks {
-        std::function<void(std::uint64_t token)> on_timer;                  // of the decision module
-        std::function<void(decision::RequestId request)> on_deadline = {};  // of a request
+        // A timer of the decision module is due.
+        std::function<void(std::uint64_t token)> on_timer;
+        // A request's deadline has been reached.
+        std::function<void(decision::RequestId request)> on_deadline = {};
     };
 
     // `clock` must outlive the queue.
     TimerQueue(boost::asio::io_context& io, const Clock& clock, Callbacks callbacks);
 
-    // Both take clock times and take effect with the next `arm`.
+    // Both functions take times of `Clock` and take effect with the next `arm`.
     void add_timer(Micros due, std::uint64_t token);
     void add_deadline(Micros due, decision::RequestId request);
     // Schedules the wake-up for the earliest entry.
@@ -35,7 +38,8 @@
         enum class Kind { timer, deadline };
         Micros due;
         Kind kind;
-        std::uint64_t id;  // a timer's token or a request's id
+        // A timer's token or a request's id, depending on `kind`.
+        std::uint64_t id;
         bool operator>(const Entry& other) const { return due > other.due; }
     };
     void run_due();
@@ -44,7 +48,8 @@
     Callbacks callbacks_;
     std::priority_queue<Entry, std::vector<Entry>, std::greater<>> entries_;
     boost::asio::steady_timer wake_up_;
-    Micros armed_for_ = Micros::max();  // max: no wake-up is scheduled
+    // The time of the scheduled wake-up; the maximum value: none is scheduled.
+    Micros armed_for_ = Micros::max();
 };
 
 }  // namespace gateway::server
--- a/src/server/upgrade.cpp
+++ b/src/server/upgrade.cpp
@@ -10,27 +10,25 @@
 using namespace std::chrono_literals;
 
 namespace {
-// The protocol version, which each side sends first. It stays letter for letter, although the name is no
-// longer that of the program, because processes of earlier releases have to accept it.
+// The protocol version, which each side sends first. It must not change, although the program has another
+// name now, because processes of earlier releases have to accept it.
 const std::string protocol_greeting = "spartrack 1";
-// A predecessor that does not greet, or does not hand over, within this time is skipped, because the new
-// process has to serve within some seconds of its start.
+// A predecessor that does not send its greeting, or does not hand over, within these times is skipped,
+// because the new process has to serve within a few seconds of its start.
 constexpr auto greeting_timeout = 500ms;
 constexpr auto takeover_timeout = 1500ms;
 }  // namespace
 
-Upgrade::Upgrade(boost::asio::io_context& io, HandoverSocket&& place, Callbacks callbacks)
-    : timeout_(io), place_(std::move(place)), callbacks_(std::move(callbacks)) {}
+Upgrade::Upgrade(boost::asio::io_context& io, HandoverSocket&& handover_socket, Callbacks callbacks)
+    : timeout_(io), handover_socket_(std::move(handover_socket)), callbacks_(std::move(callbacks)) {}
 
 Upgrade::~Upgrade() {
     if (predecessor_) predecessor_->close();
     if (successor_) successor_->close();
 }
 
-// ---- as the successor ----
-
 bool Upgrade::begin() {
-    predecessor_ = place_.find();
+    predecessor_ = handover_socket_.find();
     if (!predecessor_) {
         stage_ = Stage::serving;
         listen_for_successor();
@@ -41,14 +39,16 @@
     predecessor_->send(Kind::greeting, protocol_greeting);
     timeout_.expires_after(greeting_timeout);
     timeout_.async_wait([this](error_code cancelled) {
-        if (!cancelled && stage_ == Stage::awaiting_greeting) serve_without_takeover("it does not answer");
+        if (!cancelled && stage_ == Stage::awaiting_greeting)
+            serve_without_takeover("the predecessor sent no greeting in time");
     });
     return true;
 }
 
 void Upgrade::on_predecessor_closed() {
     predecessor_.reset();
-    if (stage_ != Stage::serving) serve_without_takeover("it ended");
+    if (stage_ != Stage::serving)
+        serve_without_takeover("the predecessor ended before the handover was complete");
     else if (callbacks_.on_predecessor_ended) callbacks_.on_predecessor_ended();
 }
 
@@ -63,7 +63,8 @@
     predecessor_->send(Kind::takeover_request);
     timeout_.expires_after(takeover_timeout);
     timeout_.async_wait([this](error_code cancelled) {
-        if (!cancelled && stage_ != Stage::serving) serve_without_takeover("it leaves nothing");
+        if (!cancelled && stage_ != Stage::serving)
+            serve_without_takeover("the predecessor did not hand over in time");
     });
 }
 
@@ -82,7 +83,7 @@
     switch (message.kind) {
         case Kind::greeting:
             if (message.payload != protocol_greeting)
-                return serve_without_takeover("it is of another version");
+                return serve_without_takeover("the predecessor uses another protocol version");
             if (stage_ == Stage::awaiting_greeting) stage_ = Stage::greeted;
             return request_takeover();
         case Kind::client_listener:
@@ -115,7 +116,8 @@
 
 void Upgrade::on_handover_complete(const HandoverMessage& message) {
     if (stage_ == Stage::serving) return;
-    if (!inherited_.client_listener) return serve_without_takeover("it has left no listener");
+    if (!inherited_.client_listener)
+        return serve_without_takeover("the predecessor handed over no client listener");
     stage_ = Stage::serving;
     timeout_.cancel();
     inherited_.sockets_kept = std::strtoul(message.payload.c_str(), nullptr, 10);
@@ -123,11 +125,9 @@
     listen_for_successor();
 }
 
-// ---- as the predecessor ----
-
-// A later successor replaces one that has connected and not taken over.
+// A further successor replaces one that has connected but not requested the handover.
 void Upgrade::listen_for_successor() {
-    place_.wait([this](std::shared_ptr<HandoverChannel> successor) {
+    handover_socket_.wait([this](std::shared_ptr<HandoverChannel> successor) {
         if (handed_over_) return;
         if (successor_) successor_->close();
         successor_ = std::move(successor);
@@ -161,7 +161,7 @@
     std::deque<HandoverMessage> unsent = successor_->take_unsent();
     successor_.reset();
     if (!std::exchange(handed_over_, false)) return;
-    LogLine(LogLevel::warning, "upgrade_rolled_back").with("reason", "the next process has ended");
+    LogLine(LogLevel::warning, "upgrade_rolled_back").with("reason", "the successor process has ended");
     callbacks_.on_successor_lost();
     for (HandoverMessage& message : unsent)
         if (message.kind == Kind::client_connection || message.kind == Kind::host_connection)
--- a/src/server/upgrade.h
+++ b/src/server/upgrade.h
@@ -1,4 +1,4 @@
-// The protocol of an upgrade: the successor process takes the sockets and state of its predecessor over.
+// The upgrade protocol: a successor process takes over the sockets and state of its predecessor.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,56 +12,61 @@
 
 namespace gateway::server {
 
-// Either side of an upgrade. A process is first the successor of one that serves, if there is one, and later
-// the predecessor of the one that replaces it.
+// Implements both sides of an upgrade. A process is first the successor of a running one, if there is one,
+// and later the predecessor of the process that replaces it.
 class Upgrade {
   public:
-    // What a predecessor leaves before the connections, which follow one by one.
+    // What a predecessor hands over before the connections, which follow one by one.
     struct InheritedState {
         Descriptor client_listener;
         Descriptor peer_socket;
-        std::vector<HandoverMessage> notifications;  // bans, standby, known host names
-        std::string snapshot;                        // of the decision module
-        std::size_t sockets_kept = 0;                // that the predecessor still needs
+        // Messages about bans, standby and the uids of known hosts.
+        std::vector<HandoverMessage> notifications;
+        // The snapshot of the decision module.
+        std::string snapshot;
+        // The number of sockets that the predecessor still needs.
+        std::size_t sockets_kept = 0;
     };
     struct Callbacks {
-        // As the successor: the predecessor has handed over; serve from now on.
+        // Called in the successor: the predecessor has handed over, and this process has to serve from now
+        // on.
         std::function<void(InheritedState&&)> on_taken_over;
-        // As the successor: the predecessor hands nothing over; bind the addresses and start without state.
+        // Called in the successor: the predecessor hands nothing over, and this process has to bind the
+        // addresses and start without inherited state.
         std::function<void()> on_no_takeover;
-        // A connection of a client or to a host: from the predecessor, or one that could not be sent to a
-        // successor that has ended.
+        // Called for each client or host connection, from the predecessor or returned because it could not be
+        // sent to a successor that has ended.
         std::function<void(HandoverMessage&&)> on_connection;
-        // As the successor: the predecessor has ended after it handed over.
+        // Called in the successor: the predecessor has ended after the handover.
         std::function<void()> on_predecessor_ended;
-        // As the predecessor: send all that InheritedState holds, then the connections.
+        // Called in the predecessor: the callback sends everything in InheritedState, then the connections.
         std::function<void(HandoverChannel&)> on_hand_over;
-        // As the predecessor: the successor has ended before this process; serve again.
+        // Called in the predecessor: the successor has ended first, and this process has to serve again.
         std::function<void()> on_successor_lost;
-        // The other process notifies of a ban, standby or host name.
+        // Called when the other process reports a ban, a standby change or the uid of a known host.
         std::function<void(HandoverMessage&&)> on_notification;
     };
-    Upgrade(boost::asio::io_context& io, HandoverSocket&& place, Callbacks callbacks);
+    Upgrade(boost::asio::io_context& io, HandoverSocket&& handover_socket, Callbacks callbacks);
     ~Upgrade();
     Upgrade(const Upgrade&) = delete;
     Upgrade& operator=(const Upgrade&) = delete;
 
-    // True: there is a predecessor, and `on_taken_over` or `on_no_takeover` follows. False: there is none,
-    // and this process has to serve at once.
+    // Returns true if there is a predecessor; `on_taken_over` or `on_no_takeover` is called later. Returns
+    // false if there is none; this process has to serve at once.
     [[nodiscard]] bool begin();
-    // This process is able to serve from now on; the predecessor is asked to hand over.
+    // Declares this process ready to serve: the predecessor is asked to hand over.
     void ready_to_serve();
-    // Tells the other process, if there is one, what operators have called for here.
+    // Sends an operator's call on this process to the other process of an upgrade, if there is one.
     void notify(HandoverMessage::Kind kind, const std::string& payload = {});
-    // Whether the handover from a predecessor is still to come.
+    // Whether the handover from a predecessor is still outstanding.
     [[nodiscard]] bool is_waiting_for_predecessor() const noexcept {
         return predecessor_ && stage_ != Stage::serving;
     }
-    // Whether messages to the successor are still to be sent.
+    // Whether messages to the successor are still queued.
     [[nodiscard]] bool is_delivering() const noexcept { return successor_ && successor_->has_unsent(); }
 
   private:
-    // Towards the predecessor.
+    // The progress of the handover from the predecessor.
     enum class Stage { awaiting_greeting, greeted, takeover_requested, serving };
 
     void on_predecessor_message(HandoverMessage&& message);
@@ -73,15 +78,18 @@
     void serve_without_takeover(const char* reason);
     void listen_for_successor();
 
-    boost::asio::steady_timer timeout_;  // of the predecessor's next step
-    HandoverSocket place_;
+    // The timeout of the predecessor's next step.
+    boost::asio::steady_timer timeout_;
+    HandoverSocket handover_socket_;
     Callbacks callbacks_;
     std::shared_ptr<HandoverChannel> predecessor_;
     std::shared_ptr<HandoverChannel> successor_;
-    InheritedState inherited_;  // until it is complete
+    // The state received from the predecessor so far.
+    InheritedState inherited_;
     Stage stage_ = Stage::awaiting_greeting;
     bool ready_to_serve_ = false;
-    bool successor_greeted_ = false;  // with this process's protocol version
+    // Whether the successor has sent a greeting with this process's protocol version.
+    bool successor_greeted_ = false;
     bool handed_over_ = false;
 };
 
--- a/tests/server/config_test.cpp
+++ b/tests/server/config_test.cpp
@@ -49,7 +49,7 @@
     EXPECT_EQ(c.discovery.port(), 8500);
     EXPECT_EQ(c.seed, 0x8c1f30d27a5be964u);
     EXPECT_EQ(c.sockets, 500u);
-    EXPECT_EQ(c.idle_limit, std::chrono::seconds(7));
+    EXPECT_EQ(c.host_idle_timeout, std::chrono::seconds(7));
     EXPECT_EQ(c.connect_timeout, std::chrono::milliseconds(90));
 }
 
