--- a/tests/server/client_disconnect_test.cpp
+++ b/tests/server/client_disconnect_test.cpp
@@ -1,10 +1,10 @@
-// Clients that disconnect, or send on, while their request is in flight.
+// Clients that disconnect, or send further data, while their request is in flight.
 #include "gateway_fixture.h"
 
 namespace gateway::server::test {
 namespace {
 
-TEST_F(GatewayTest, AClientThatLeavesIsNoLoss) {
+TEST_F(GatewayTest, ADisconnectedClientReleasesItsConnectionAndTheNextClientIsServed) {
     on_request = [](auto&) {};
     ASSERT_TRUE(starts());
     {
@@ -22,12 +22,12 @@
     EXPECT_EQ(client.answers()[0].body(), "next");
 }
 
-// Found on the narrow days: a third of the connections came up late, some after the request's end, and
-// carried it to a host all the same.
-TEST_F(GatewayTest, AnAttemptThatHasNotBeenSentEndsWithItsClient) {
-    NeverUp late(io);
+// Guards against connections to hosts that are established only after the end of their request and still
+// carry the request to a host. In one case, a third of the connections came up late, and some of them did so.
+TEST_F(GatewayTest, AnUnsentAttemptEndsWhenItsClientDisconnects) {
+    NeverUp unreachable(io);
     endpoint_list =
-        complete_list(1, endpoint_entry("n", "127.0.0.1:" + std::to_string(late.endpoint().port())));
+        complete_list(1, endpoint_entry("n", "127.0.0.1:" + std::to_string(unreachable.endpoint().port())));
     may = R"("connectTimeoutUs":14000000,)";
     ASSERT_TRUE(starts());
     Client client(io, address());
@@ -38,49 +38,51 @@
     EXPECT_EQ(budget->in_use(SocketBudget::Side::host), 0u);
 }
 
-TEST_F(GatewayTest, AHedgeThatHasNotBeenSentEndsWithTheAnswerToTheFirstAttempt) {
-    NeverUp late(io);
+TEST_F(GatewayTest, AnUnsentHedgeEndsWhenTheFirstAttemptIsAnswered) {
+    NeverUp unreachable(io);
     deadline_ms = 4000;
     may = R"("connectTimeoutUs":14000000,"mayDuplicate":true,)";
     ASSERT_TRUE(starts());
     Client client(io, address());
-    std::size_t asked = 0;
-    for (; asked < 5; ++asked) {
-        client.say(request(std::string("r").append(std::to_string(asked))));
-        ASSERT_TRUE(answered(client, asked + 1) && time_passes(20ms));
+    std::size_t requests_received = 0;
+    for (; requests_received < 5; ++requests_received) {
+        client.say(request(std::string("r").append(std::to_string(requests_received))));
+        ASSERT_TRUE(answered(client, requests_received + 1) && time_passes(20ms));
     }
     on_request = [](auto&) {};
     client.say(request("slow"));
-    ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == asked + 1; }));
-    endpoint_list =
-        complete_list(2, endpoint_entry("h", host.address()) + "," +
-                             endpoint_entry("n", "127.0.0.1:" + std::to_string(late.endpoint().port())));
+    ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == requests_received + 1; }));
+    endpoint_list = complete_list(
+        2, endpoint_entry("h", host.address()) + "," +
+               endpoint_entry("n", "127.0.0.1:" + std::to_string(unreachable.endpoint().port())));
     for (const auto& peer : discovery.peers) peer->close();
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::host) == 2; }));
     host.peers[0]->ok("first");
-    ASSERT_TRUE(answered(client, asked + 1));
+    ASSERT_TRUE(answered(client, requests_received + 1));
     EXPECT_EQ(client.answers().back().body(), "first");
-    EXPECT_EQ(budget->in_use(SocketBudget::Side::host), 1u);  // the kept connection
+    // The kept-alive connection of the first attempt.
+    EXPECT_EQ(budget->in_use(SocketBudget::Side::host), 1u);
 }
 
-// On the narrow days some clients send much at once and go.
-TEST_F(GatewayTest, AClientThatLeavesBehindMuchUnreadIsNoticed) {
+// Guards against clients that send much data and then disconnect: unread bytes must not hide the disconnect.
+TEST_F(GatewayTest, ADisconnectBehindUnreadBytesCancelsTheAttempt) {
     may = R"("cancel":true,)";
     on_request = [](auto&) {};
     ASSERT_TRUE(starts());
-    for (const std::size_t behind : {5000u, 40000u}) {
+    for (const std::size_t excess_bytes : {5000u, 40000u}) {
         Client client(io, address());
-        client.say(request("a") + std::string(behind, 'x'));
-        const std::size_t asked = host.requests.size();
-        ASSERT_TRUE(run_until(io, [&] { return host.requests.size() > asked; })) << behind;
+        client.say(request("a") + std::string(excess_bytes, 'x'));
+        const std::size_t requests_received = host.requests.size();
+        ASSERT_TRUE(run_until(io, [&] { return host.requests.size() > requests_received; })) << excess_bytes;
         client.close();
-        const auto left = std::chrono::steady_clock::now();
-        ASSERT_TRUE(run_until(io, [&] { return host.peers.back()->closed; })) << behind;
-        EXPECT_LT(std::chrono::steady_clock::now() - left, 1s) << behind;  // its time has 15 s
+        const auto disconnected_at = std::chrono::steady_clock::now();
+        ASSERT_TRUE(run_until(io, [&] { return host.peers.back()->closed; })) << excess_bytes;
+        // The request's deadline is 15 s.
+        EXPECT_LT(std::chrono::steady_clock::now() - disconnected_at, 1s) << excess_bytes;
     }
 }
 
-TEST_F(GatewayTest, AClientThatSendsOnBehindItsRequestHasItsAnswerAndAnEnd) {
+TEST_F(GatewayTest, AClientThatSendsExcessDataIsAnsweredAndDisconnected) {
     on_request = [](auto&) {};
     ASSERT_TRUE(starts());
     Client client(io, address());
@@ -91,18 +93,19 @@
     ASSERT_TRUE(run_until(io, [&] { return client.ended(); }));
     ASSERT_EQ(client.answers().size(), 1u);
     EXPECT_EQ(client.answers()[0].body(), "served");
-    // Without an end it is not read for ever.
-    Client flood(io, address());
-    flood.say(request("b"));
+    // A client that never stops sending is disconnected.
+    Client flooding_client(io, address());
+    flooding_client.say(request("b"));
     try {
-        for (int i = 0; i < 40 && !flood.ended(); ++i) {
-            flood.say(std::string(16384, 'x'));
+        for (int i = 0; i < 40 && !flooding_client.ended(); ++i) {
+            flooding_client.say(std::string(16384, 'x'));
             ASSERT_TRUE(time_passes(2ms));
         }
-    } catch (const boost::system::system_error&) {  // closed as it was written to
+        // The gateway closed the connection during a write.
+    } catch (const boost::system::system_error&) {
     }
-    EXPECT_TRUE(run_until(io, [&] { return flood.ended(); }));
-    EXPECT_TRUE(flood.answers().empty());
+    EXPECT_TRUE(run_until(io, [&] { return flooding_client.ended(); }));
+    EXPECT_TRUE(flooding_client.answers().empty());
 }
 
 }  // namespace
--- a/tests/server/client_request_reader_test.cpp
+++ b/tests/server/client_request_reader_test.cpp
@@ -1,4 +1,4 @@
-// The parser of clients' requests, without any socket.
+// Tests of the parser for client requests, without sockets.
 #include "client_request_reader.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
         if (!reader.active()) reader.start();
         return reader.parse();
     }
-    // The status that a request is rejected with; `ok`: none.
+    // Returns the status of the error that a request causes; `ok` if it causes none.
     http::status rejection(std::string_view bytes) {
         const auto progress = parse(bytes);
         reader.abort();
@@ -29,7 +29,7 @@
     }
 };
 
-TEST_F(ClientRequestReaderTest, ParsesARequestThatComesInParts) {
+TEST_F(ClientRequestReaderTest, ParsesARequestThatArrivesInParts) {
     ClientRequestReader::Progress progress = parse("POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n");
     EXPECT_FALSE(progress.header_completed);
     EXPECT_TRUE(reader.consumed_any());
@@ -44,7 +44,7 @@
     EXPECT_FALSE(reader.active());
 }
 
-TEST_F(ClientRequestReaderTest, LeavesPipelinedDataInTheBuffer) {
+TEST_F(ClientRequestReaderTest, KeepsPipelinedDataInTheBuffer) {
     const std::string_view next = "GET /b HTTP/1.1\r\n\r\n";
     EXPECT_FALSE(parse("GET /a HTTP/1.1\r\n\r\n" + std::string(next)).error);
     EXPECT_TRUE(reader.complete());
@@ -63,7 +63,7 @@
     EXPECT_EQ(released.message[http::field::content_length], "2");
 }
 
-TEST_F(ClientRequestReaderTest, EachErrorHasItsStatus) {
+TEST_F(ClientRequestReaderTest, ReportsTheStatusForEachKindOfError) {
     EXPECT_EQ(rejection("no request\r\n\r\n"), http::status::bad_request);
     EXPECT_EQ(rejection("GET / HTTP/1.1\r\nX: " + std::string(max_header_bytes, 'x')),
               http::status::request_header_fields_too_large);
@@ -91,7 +91,7 @@
     EXPECT_EQ(budget.in_use(), 0u);
 }
 
-TEST_F(ClientRequestReaderTest, KnowsWhichClientWaitsForContinue) {
+TEST_F(ClientRequestReaderTest, DetectsAClientThatExpects100Continue) {
     parse("POST / HTTP/1.1\r\nExpect: 100-Continue\r\nContent-Length: 4\r\n\r\n");
     EXPECT_TRUE(reader.expects_continue());
 }
--- a/tests/server/client_response_encoder_test.cpp
+++ b/tests/server/client_response_encoder_test.cpp
@@ -1,4 +1,4 @@
-// The framing of responses to clients.
+// Tests of the framing of responses to clients.
 #include "client_response_encoder.h"
 
 #include <gtest/gtest.h>
@@ -18,19 +18,19 @@
     bool contains(const std::string& text) const { return out.find(text) != std::string::npos; }
 };
 
-TEST_F(ClientResponseEncoderTest, ACompleteResponseHasItsLength) {
+TEST_F(ClientResponseEncoderTest, ACompleteResponseHasAContentLength) {
     encoder.set_request(http_1_1, false);
     encoder.encode(make_answer(http::status::ok, "body"), true, out);
     EXPECT_EQ(out, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody");
 }
 
-TEST_F(ClientResponseEncoderTest, AResponseThatEndsItsConnectionSaysSo) {
+TEST_F(ClientResponseEncoderTest, AResponseBeforeTheCloseHasConnectionClose) {
     encoder.set_request(http_1_1, false);
     encoder.encode(make_answer(http::status::ok), false, out);
     EXPECT_TRUE(contains("Connection: close\r\n"));
 }
 
-TEST_F(ClientResponseEncoderTest, AResponseToHeadHasTheLengthOfTheHostAndNoBody) {
+TEST_F(ClientResponseEncoderTest, AResponseToHeadHasTheContentLengthOfTheHostAndNoBody) {
     encoder.set_request(http_1_1, true);
     Answer answer = make_answer(http::status::ok);
     answer.set(http::field::content_length, "7");
@@ -38,7 +38,7 @@
     EXPECT_EQ(out, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n");
 }
 
-TEST_F(ClientResponseEncoderTest, AStreamWithoutALengthIsChunked) {
+TEST_F(ClientResponseEncoderTest, AStreamWithoutAContentLengthIsChunked) {
     encoder.set_request(http_1_1, false);
     EXPECT_TRUE(encoder.begin_stream(make_answer(http::status::ok, "ab"), true, out));
     EXPECT_EQ(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n");
@@ -46,7 +46,7 @@
     EXPECT_EQ(encoder.encode_piece("", true), "0\r\n\r\n");
 }
 
-TEST_F(ClientResponseEncoderTest, AStreamWithALengthIsNotChunked) {
+TEST_F(ClientResponseEncoderTest, AStreamWithAContentLengthIsNotChunked) {
     encoder.set_request(http_1_1, false);
     Answer first = make_answer(http::status::ok, "ab");
     first.content_length(3);
@@ -55,7 +55,7 @@
     EXPECT_EQ(encoder.encode_piece("c", true), "c");
 }
 
-TEST_F(ClientResponseEncoderTest, AnOldClientCanTellTheEndOfAStreamWithoutALengthOnlyByTheClose) {
+TEST_F(ClientResponseEncoderTest, AnHttp10StreamWithoutAContentLengthEndsWithTheClose) {
     encoder.set_request(http_1_0, false);
     EXPECT_FALSE(encoder.begin_stream(make_answer(http::status::ok, "ab"), true, out));
     EXPECT_FALSE(contains("Transfer-Encoding"));
--- a/tests/server/clock_test.cpp
+++ b/tests/server/clock_test.cpp
@@ -5,7 +5,7 @@
 namespace gateway::server::test {
 namespace {
 
-TEST(Clock, IsUnixTimeThatNeverGoesBack) {
+TEST(Clock, ReturnsUnixTimeThatNeverDecreases) {
     const Clock clock;
     const auto unix_now =
         std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
--- a/tests/server/event_dispatcher_test.cpp
+++ b/tests/server/event_dispatcher_test.cpp
@@ -18,7 +18,8 @@
     return settings;
 }
 
-// Answered at once by SaveSnapshot, but only by a module that has not handed over already.
+// The decision module answers this event with SaveSnapshot at once, but only if it has not handed over
+// already.
 decision::Event handover() { return decision::HandedOver{true}; }
 decision::Event return_of_handover() { return decision::HandedOver{false}; }
 
@@ -44,13 +45,13 @@
     }
 };
 
-TEST_F(EventDispatcherTest, HandsAnEventOfAnActionOverAfterThatAction) {
+TEST_F(EventDispatcherTest, DispatchesAnEventFromAnActionAfterThatAction) {
     on_first_snapshot = [this] { dispatch_second_handover(); };
     dispatcher.dispatch(handover());
     EXPECT_EQ(log, (std::vector<std::string>{"begin 1", "end 1", "begin 2", "end 2", "empty"}));
 }
 
-TEST_F(EventDispatcherTest, HandsAnEventOverAfterItsConsequenceAndBeforeWhatThatCauses) {
+TEST_F(EventDispatcherTest, DispatchesAnEventAfterItsConsequenceAndBeforeTheEventsThatItCauses) {
     dispatcher.dispatch_before(handover(), [this] {
         log.push_back("consequence");
         dispatch_second_handover();
--- a/tests/server/gateway_fixture.h
+++ b/tests/server/gateway_fixture.h
@@ -1,4 +1,4 @@
-// The whole gateway in one process, with clients, hosts and discovery on the event loop of the test.
+// A complete gateway in the test process, with clients, hosts and discovery on the test's event loop.
 #pragma once
 
 #include "loopback.h"
@@ -6,19 +6,19 @@
 
 namespace gateway::server::test {
 
-// An entry of an endpoint list.
+// Returns one entry of an endpoint list.
 inline std::string endpoint_entry(const std::string& uid, const std::string& address,
                                   const std::string& state = "ready") {
     return R"({"uid":")" + uid + R"(","endpoint":")" + address + R"(","az":"a","model":"m","state":")" +
            state + R"(","capacity_hint":1,"boot_ms":0})";
 }
 
-// A complete endpoint list.
+// Returns a complete endpoint list. `targets`: its entries, separated by commas.
 inline std::string complete_list(int rev, const std::string& targets) {
     return R"({"rev":)" + std::to_string(rev) + R"(,"all":true,"targets":[)" + targets + "]}";
 }
 
-// A request as text.
+// Returns the text of a valid request. `id`: its trace id. `more`: further header lines.
 inline std::string request(const std::string& id, const std::string& more = {},
                            const std::string& qos = "read", std::chrono::milliseconds expires_in = 15000ms) {
     return "GET /api/x?y=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: " + id + "\r\nX-Qos: " + qos +
@@ -27,8 +27,8 @@
            "\r\n";
 }
 
-// A gateway with one host and the discovery that names it. Settings changed before the first use of gateway()
-// take effect.
+// A gateway with one host, and a discovery server that lists this host. Changes to the settings take effect
+// if they precede the first call of gateway().
 struct GatewayTest : ::testing::Test {
     asio::io_context io;
     std::optional<SocketBudget> budget;
@@ -36,17 +36,21 @@
     int deadline_ms = 15000;
     Server::Handler on_request = [](auto& peer) { peer.ok("served"); };
     Server host{io, [this](auto& peer) { on_request(peer); }};
-    std::string endpoint_list;  // what discovery tells; empty: it is silent
+    // The endpoint list that discovery sends; if empty, discovery does not respond.
+    std::string endpoint_list;
     Server::Handler on_list_call = [this](auto& peer) {
         if (!endpoint_list.empty() && peer.request.target().find("from=") == std::string::npos)
             peer.ok(endpoint_list);
     };
     Server discovery{io, [this](auto& peer) { on_list_call(peer); }};
     std::string plan = R"({"name":"basic","rate":1000,"mostAtOnce":1000,"worthFactor":1})";
-    std::string extra;               // further keys of the configuration
-    std::string may;                 // further keys of the settings' limits
-    std::string mode = "automatic";  // how lists come
-    std::optional<Runtime> made;
+    // Further keys of the configuration file, each followed by a comma.
+    std::string extra;
+    // Further keys of `ceilings` in the settings, each followed by a comma.
+    std::string may;
+    // The value of `membershipMode` in the settings.
+    std::string mode = "automatic";
+    std::optional<Runtime> runtime;
 
     void SetUp() override { endpoint_list = complete_list(1, endpoint_entry("h", host.address())); }
     Config config() const {
@@ -63,18 +67,18 @@
             [](const char*) { return nullptr; });
     }
     Runtime& gateway() {
-        if (!made) {
+        if (!runtime) {
             budget.emplace(sockets);
-            made.emplace(io, *budget, config());
+            runtime.emplace(io, *budget, config());
         }
-        return *made;
+        return *runtime;
     }
     tcp::endpoint address() { return gateway().clients().local_endpoint(); }
     bool starts() {
         gateway();
         return run_until(io, [&] { return gateway().ready(); });
     }
-    // For at least so long.
+    // Runs the event loop for at least `span`.
     bool time_passes(std::chrono::milliseconds span) {
         const auto until = std::chrono::steady_clock::now() + span;
         return run_until(io, [&] { return std::chrono::steady_clock::now() >= until; });
--- a/tests/server/gateway_test.cpp
+++ b/tests/server/gateway_test.cpp
@@ -1,10 +1,10 @@
-// Requests that the gateway forwards: time limits, quotas, retries, bodies, metrics, configuration.
+// Requests that the gateway forwards: deadlines, quotas, retries, bodies, metrics and configuration.
 #include "gateway_fixture.h"
 
 namespace gateway::server::test {
 namespace {
 
-TEST_F(GatewayTest, ServesARequestAndKeepsTheConnection) {
+TEST_F(GatewayTest, ServesARequestAndKeepsTheConnectionAlive) {
     ASSERT_TRUE(starts());
     Client client(io, address());
     client.say(request("a"));
@@ -13,47 +13,50 @@
     EXPECT_EQ(client.answers()[0].body(), "served");
     EXPECT_EQ(host.targets[0], "/api/x?y=1");
     EXPECT_EQ(host.requests[0]["X-Trace-Id"], "a");
-    ASSERT_TRUE(time_passes(20ms));  // a host's connection rests after an answer
+    // The connection to the host becomes idle after the response.
+    ASSERT_TRUE(time_passes(20ms));
     client.say(request("b"));
     ASSERT_TRUE(answered(client, 2));
     EXPECT_FALSE(client.ended());
     EXPECT_EQ(host.peers.size(), 1u);
 }
 
-// A gateway that counts the time of these requests from when it reads them sends them on, and answers long
-// after their clients have given up.
+// Guards against a gateway that starts the time of these requests only when it reads them: it would forward
+// them and answer long after their clients have stopped waiting.
 TEST_F(GatewayTest, ARequestThatExpiresBeforeTheGatewayOpensIsRejectedAtOnce) {
     endpoint_list.clear();
     extra = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
     gateway();
     Client client(io, address());
     client.say(request("a", {}, "read", 50ms));
-    ASSERT_TRUE(answered(client));  // once discovery has been waited for
+    // The answer follows after the wait for discovery's first list.
+    ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].result_int(), 429u);
     EXPECT_TRUE(host.requests.empty());
 }
 
 TEST_F(GatewayTest, ARequestThatExpiresBehindAnotherIsRejectedAtOnce) {
-    std::vector<std::shared_ptr<Server::Peer>> holding;
-    on_request = [&](Server::Peer& peer) { holding.push_back(peer.shared_from_this()); };
+    std::vector<std::shared_ptr<Server::Peer>> held_requests;
+    on_request = [&](Server::Peer& peer) { held_requests.push_back(peer.shared_from_this()); };
     ASSERT_TRUE(starts());
     Client client(io, address());
     client.say(request("a") + request("b", {}, "read", 20ms));
-    ASSERT_TRUE(run_until(io, [&] { return holding.size() == 1; }));
+    ASSERT_TRUE(run_until(io, [&] { return held_requests.size() == 1; }));
     ASSERT_TRUE(time_passes(30ms));
-    holding[0]->ok("served");
+    held_requests[0]->ok("served");
     ASSERT_TRUE(answered(client, 2));
     EXPECT_EQ(client.answers()[0].result_int(), 200u);
     EXPECT_EQ(client.answers()[1].result_int(), 429u);
     EXPECT_EQ(host.requests.size(), 1u);
 }
 
-TEST_F(GatewayTest, ARequestThatExpiresDuringThePauseAfterABadOneIsRejectedAtOnce) {
+TEST_F(GatewayTest, ARequestThatExpiresDuringThePauseAfterAnInvalidOneIsRejectedAtOnce) {
     ASSERT_TRUE(starts());
     Client client(io, address());
-    for (std::size_t bad = 1; bad <= 4; ++bad) {  // each makes the pause behind it longer: 160 ms in the end
+    // Each invalid request doubles the pause after it, to 160 ms after the last one.
+    for (std::size_t invalid = 1; invalid <= 4; ++invalid) {
         client.say("GET /api HTTP/1.1\r\nHost: x\r\n\r\n");
-        ASSERT_TRUE(answered(client, bad));
+        ASSERT_TRUE(answered(client, invalid));
     }
     client.say(request("a", {}, "read", 5ms));
     ASSERT_TRUE(answered(client, 5));
@@ -61,7 +64,7 @@
     EXPECT_TRUE(host.requests.empty());
 }
 
-TEST_F(GatewayTest, MetricsTellWhyRequestsWereRejectedAndConnectionsClosed) {
+TEST_F(GatewayTest, MetricsCountRejectionsAndClosedConnectionsByReason) {
     plan = R"({"name":"basic","rate":0.001,"mostAtOnce":2,"excessCost":1,"worthFactor":1})";
     ASSERT_TRUE(starts());
     Client client(io, address());
@@ -70,19 +73,22 @@
         ASSERT_TRUE(answered(client, call));
     }
     client.close();
-    const auto tells = [&](const std::string& line) {
+    const auto metrics_contain = [&](const std::string& line) {
         return gateway().metrics().find(line) != std::string::npos;
     };
     EXPECT_TRUE(run_until(io, [&] {
-        return tells("api_gateway_client_connections_closed_total{reason=\"closed_by_client\"} 1\n");
+        return metrics_contain(
+            "api_gateway_client_connections_closed_total{reason=\"closed_by_client\"} 1\n");
     }));
-    EXPECT_TRUE(tells("api_gateway_requests_total 6\n"));
-    EXPECT_TRUE(tells("api_gateway_rejections_total{reason=\"over_quota\"} 5\n")) << gateway().metrics();
-    EXPECT_TRUE(tells("api_gateway_attempts_ended_total{outcome=\"success\"} 1\n")) << gateway().metrics();
-    EXPECT_TRUE(tells("api_gateway_rule_violations_total 0\n"));
+    EXPECT_TRUE(metrics_contain("api_gateway_requests_total 6\n"));
+    EXPECT_TRUE(metrics_contain("api_gateway_rejections_total{reason=\"over_quota\"} 5\n"))
+        << gateway().metrics();
+    EXPECT_TRUE(metrics_contain("api_gateway_attempts_ended_total{outcome=\"success\"} 1\n"))
+        << gateway().metrics();
+    EXPECT_TRUE(metrics_contain("api_gateway_rule_violations_total 0\n"));
 }
 
-TEST_F(GatewayTest, BeyondItsQuotaACustomerIsRejectedAtOnceWithAdvice) {
+TEST_F(GatewayTest, ACustomerOverItsQuotaIsRejectedAtOnceWithRetryAfter) {
     plan = R"({"name":"basic","rate":0.001,"mostAtOnce":2,"excessCost":1,"worthFactor":1})";
     ASSERT_TRUE(starts());
     Client client(io, address());
@@ -96,7 +102,7 @@
     EXPECT_LE(host.requests.size(), 2u);
 }
 
-TEST_F(GatewayTest, ABrokenHostIsReplacedByAnotherInARetry) {
+TEST_F(GatewayTest, ARequestThatABrokenHostResetsIsRetriedAtAnother) {
     Server broken(io, [](auto& peer) { peer.reset(); });
     endpoint_list =
         complete_list(1, endpoint_entry("b", broken.address()) + "," + endpoint_entry("h", host.address()));
@@ -110,7 +116,7 @@
     EXPECT_FALSE(broken.requests.empty());
 }
 
-TEST_F(GatewayTest, ARequestIsAnsweredByItsDeadlineWhenAHostIsSilent) {
+TEST_F(GatewayTest, ARequestIsAnsweredByItsDeadlineWhenItsHostDoesNotRespond) {
     on_request = [](auto&) {};
     ASSERT_TRUE(starts());
     Client client(io, address());
@@ -119,28 +125,31 @@
     client.say(text);
     ASSERT_TRUE(answered(client));
     EXPECT_NE(client.answers()[0].result_int(), 200u);
-    // The host's answer comes too late; the client hears nothing more.
+    // The client receives no second answer.
     EXPECT_EQ(client.answers().size(), 1u);
 }
 
-TEST_F(GatewayTest, ANewConfigurationMovesTheWatchAndTheListGoesOnServing) {
+TEST_F(GatewayTest, AReloadMovesTheWatchAndKeepsTheListInUse) {
     ASSERT_TRUE(starts());
     Server other(io, [](auto& peer) { peer.ok("other"); });
-    std::string told;  // the new discovery is silent at first
+    // The list that the new discovery server sends; it does not respond while this is empty.
+    std::string next_list;
     Server next(io, [&](auto& peer) {
-        if (!told.empty() && peer.request.target().find("from=") == std::string::npos) peer.ok(told);
+        if (!next_list.empty() && peer.request.target().find("from=") == std::string::npos)
+            peer.ok(next_list);
     });
-    Config moved = config();
-    moved.discovery = next.endpoint();
-    gateway().reload(moved);
+    Config moved_config = config();
+    moved_config.discovery = next.endpoint();
+    gateway().reload(moved_config);
     ASSERT_TRUE(run_until(io, [&] { return next.requests.size() == 1; }));
     EXPECT_EQ(next.targets[0], "/catalog/members");
     Client client(io, address());
     client.say(request("a"));
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].body(), "served");
-    told =
-        complete_list(0, endpoint_entry("o", other.address()));  // a lower version than the old discovery's
+    next_list =
+        // The version of the list is lower than that of the previous discovery server.
+        complete_list(0, endpoint_entry("o", other.address()));
     ASSERT_TRUE(run_until(io, [&] {
         return next.requests.size() > 1 && next.targets.back().find("from=0&") != std::string::npos;
     }));
@@ -148,26 +157,28 @@
     ASSERT_TRUE(answered(client, 2));
     EXPECT_EQ(client.answers()[1].body(), "other");
     const std::size_t before = discovery.requests.size();
-    gateway().reload(config());  // and back
+    // Back to the previous discovery server.
+    gateway().reload(config());
     ASSERT_TRUE(run_until(io, [&] { return discovery.requests.size() > before; }));
     EXPECT_EQ(discovery.targets.back(), "/catalog/members");
 }
 
-TEST_F(GatewayTest, AnAddressThatIsTakenIsNamed) {
+TEST_F(GatewayTest, AnAddressInUseIsReportedWithItsKey) {
     asio::ip::tcp::acceptor other(io, any_port());
-    Config taken = config();
-    taken.listen = other.local_endpoint();
+    Config config_in_use = config();
+    config_in_use.listen = other.local_endpoint();
     budget.emplace(64);
     try {
-        Runtime second(io, *budget, taken);
-        FAIL() << "bound an address that is taken";
+        Runtime second(io, *budget, config_in_use);
+        FAIL() << "bound an address that is in use";
     } catch (const ConfigError& error) {
         EXPECT_NE(std::string(error.what()).find("listen: expected"), std::string::npos) << error.what();
     }
 }
 
-// Found on day 1: the host saw no body, as nothing told its length.
-TEST_F(GatewayTest, ARequestInChunksReachesTheHostWhole) {
+// Guards against the loss of a chunked body: a host once received no body, because the forwarded request did
+// not state its length.
+TEST_F(GatewayTest, AChunkedRequestReachesTheHostWithItsCompleteBody) {
     ASSERT_TRUE(starts());
     Client client(io, address());
     std::string text = request("a", "Transfer-Encoding: chunked\r\n", "book");
@@ -178,7 +189,7 @@
     EXPECT_EQ(host.requests.at(0).body(), "abcde");
 }
 
-TEST_F(GatewayTest, HeadIsAskedAndAnsweredWithoutABody) {
+TEST_F(GatewayTest, AHeadRequestIsForwardedAndAnsweredWithoutABody) {
     ASSERT_TRUE(starts());
     on_request = [](auto& peer) { peer.say("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"); };
     Client client(io, address());
@@ -191,7 +202,7 @@
     EXPECT_EQ(host.requests.at(0).method(), http::verb::head);
 }
 
-TEST_F(GatewayTest, ABodyMayTakeItsTimeAsLongAsItGoesOn) {
+TEST_F(GatewayTest, ASlowBodyIsAcceptedAsLongAsItMakesProgress) {
     ASSERT_TRUE(starts());
     Client client(io, address()), stuck(io, address());
     std::string text = request("a", "Content-Length: 32768\r\n", "book");
--- a/tests/server/in_flight_requests_test.cpp
+++ b/tests/server/in_flight_requests_test.cpp
@@ -11,7 +11,7 @@
     return request;
 }
 
-TEST(InFlightRequests, FindsWhatWasAddedUntilItIsErased) {
+TEST(InFlightRequests, FindsARequestUntilItIsErased) {
     InFlightRequests requests;
     EXPECT_EQ(requests.find(7), nullptr);
     const InFlightRequest& added = requests.add(7, request_with_trace("a"));
@@ -23,7 +23,7 @@
     EXPECT_EQ(requests.size(), 0u);
 }
 
-TEST(InFlightRequests, KnowsTheTraceIdsInFlight) {
+TEST(InFlightRequests, ContainsExactlyTheTraceIdsInFlight) {
     InFlightRequests requests;
     for (decision::RequestId id = 1; id <= 100; ++id)
         requests.add(id, request_with_trace(std::string("t").append(std::to_string(id))));
@@ -33,7 +33,7 @@
     EXPECT_TRUE(requests.contains_trace_id("t100"));
 }
 
-TEST(InFlightRequests, ListsWhatHasNoAnswer) {
+TEST(InFlightRequests, ListsTheUnansweredRequests) {
     InFlightRequests requests;
     requests.add(1, request_with_trace("a")).answered = true;
     requests.add(2, request_with_trace("b"));
--- a/tests/server/invalid_request_test.cpp
+++ b/tests/server/invalid_request_test.cpp
@@ -1,23 +1,24 @@
-// Requests that are malformed or outside the settings: answered, and never forwarded.
+// Requests that are malformed or contradict the settings: they are answered and never forwarded.
 #include "gateway_fixture.h"
 
 namespace gateway::server::test {
 namespace {
 
-TEST_F(GatewayTest, BadRequestsAreAnsweredAndHarmNoOther) {
+TEST_F(GatewayTest, InvalidRequestsAreAnsweredAndDoNotAffectOtherClients) {
     ASSERT_TRUE(starts());
     const auto status = [&](const std::string& text) {
-        Client bad(io, address());
-        bad.say(text);
-        EXPECT_TRUE(answered(bad)) << text.substr(0, 80);
-        return bad.answers().empty() ? 0u : bad.answers()[0].result_int();
+        Client client(io, address());
+        client.say(text);
+        EXPECT_TRUE(answered(client)) << text.substr(0, 80);
+        return client.answers().empty() ? 0u : client.answers()[0].result_int();
     };
     Client other(io, address());
     EXPECT_EQ(status("nonsense\r\n\r\n"), 400u);
     EXPECT_EQ(status(request("a", "", "unknown")), 400u);
     EXPECT_EQ(status("GET /api HTTP/1.1\r\nHost: x\r\nX-Qos: read\r\n\r\n"), 400u);
     EXPECT_EQ(status(request("a", "X-Metering: units=1,spread=1,first=0\r\n")),
-              400u);  // which of two counts?
+              // The header occurs twice, and it is unclear which value applies.
+              400u);
     EXPECT_EQ(status("GET / HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: read\r\nX-Client-Id: 12\r\n\r\n"),
               400u);
     EXPECT_EQ(status("GET / HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: read\r\nX-Client-Id: "
@@ -30,9 +31,9 @@
     EXPECT_EQ(other.answers()[0].result_int(), 200u);
 }
 
-// Found by mutated requests: the parser asks for more of a line without an end, in a buffer that is full, and
-// the exception of that one connection ended the process.
-TEST_F(GatewayTest, AnEndlessLineInAChunkedBodyEndsOnlyItsConnection) {
+// Guards against an exception that ended the process: for a line without an end in a chunked body, the parser
+// requested more bytes than its full buffer could hold.
+TEST_F(GatewayTest, AnEndlessLineInAChunkedBodyClosesOnlyItsConnection) {
     ASSERT_TRUE(starts());
     const std::string endless(200'000, '1');
     for (const std::string& line :
@@ -49,13 +50,13 @@
     EXPECT_EQ(other.answers()[0].result_int(), 200u);
 }
 
-// What can't be right must reach neither a host nor anyone's quota.
-TEST_F(GatewayTest, RequestsOutsideTheSettingsAreNeverForwarded) {
+// Requests with invalid attributes must neither reach a host nor be charged to a customer's quota.
+TEST_F(GatewayTest, RequestsThatContradictTheSettingsAreNeverForwarded) {
     plan = R"({"name":"basic","rate":0.001,"mostAtOnce":2,"excessCost":1,"worthFactor":1})";
     ASSERT_TRUE(starts());
-    const std::string good = request("a");
+    const std::string valid_request = request("a");
     const auto status = [&](const std::string& from, const std::string& to) {
-        std::string text = good;
+        std::string text = valid_request;
         EXPECT_NE(text.find(from), std::string::npos) << from;
         text.replace(text.find(from), from.size(), to);
         Client client(io, address());
@@ -79,11 +80,13 @@
     EXPECT_EQ(status("GET", "POST"), 405u);
     EXPECT_EQ(status("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx"), 400u);
     EXPECT_TRUE(host.requests.empty());
-    EXPECT_EQ(status("X-Trace-Id: a", "X-Trace-Id: b"), 200u);  // the quota's one unit is still there
+    // The quota's one unit is still available.
+    EXPECT_EQ(status("X-Trace-Id: a", "X-Trace-Id: b"), 200u);
 }
 
-// Two readers that see different ends of one message let a request through that nobody has checked.
-TEST_F(GatewayTest, AnAmbiguousLengthIsRejectedAndNothingOfItIsForwarded) {
+// Guards against request smuggling: two parsers that disagree about the end of a message let an unchecked
+// request through.
+TEST_F(GatewayTest, ARequestOfAmbiguousLengthIsRejectedAndNotForwarded) {
     ASSERT_TRUE(starts());
     std::string hidden = request("hidden"), head = request("a", "", "book");
     head.replace(0, 3, "POST");
@@ -105,7 +108,7 @@
     EXPECT_TRUE(host.requests.empty());
 }
 
-TEST_F(GatewayTest, AnIdThatIsOpenElsewhereIsTurnedAway) {
+TEST_F(GatewayTest, ARequestWithATraceIdInFlightIsRejected) {
     on_request = [](auto&) {};
     ASSERT_TRUE(starts());
     Client first(io, address()), second(io, address());
@@ -120,7 +123,8 @@
     ASSERT_TRUE(answered(first));
     EXPECT_EQ(first.answers()[0].body(), "own");
     EXPECT_EQ(host.requests.size(), 1u);
-    first.say(request("a"));  // over, so no longer open
+    // The first request has ended, so its trace id may be used again.
+    first.say(request("a"));
     ASSERT_TRUE(answered(first, 2));
     EXPECT_EQ(first.answers()[1].body(), "again");
 }
--- a/tests/server/loopback.h
+++ b/tests/server/loopback.h
@@ -1,5 +1,5 @@
-// Small ends of loopback connections for the tests: all on the test's own event loop, on ports the kernel
-// picks.
+// Servers and clients on loopback connections for tests. All run on the test's event loop, on ports that the
+// kernel chooses.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -22,19 +22,19 @@
 
 inline tcp::endpoint any_port() { return {asio::ip::address_v4::loopback(), 0}; }
 
-// Runs the loop until `done`; what never comes fails the test after a time that no sound run reaches.
+// Runs the event loop until `done` returns true. Returns false after 20 s, which no correct run takes.
 template <class Done>
 [[nodiscard]] bool run_until(asio::io_context& io, Done done) {
-    const auto give_up = std::chrono::steady_clock::now() + 20s;
+    const auto give_up_at = std::chrono::steady_clock::now() + 20s;
     while (!done()) {
-        if (std::chrono::steady_clock::now() > give_up) return false;
+        if (std::chrono::steady_clock::now() > give_up_at) return false;
         io.restart();
         io.run_one_for(100ms);
     }
     return true;
 }
 
-// A server that hears whole requests and says what the test tells it to.
+// An HTTP server that reads complete requests and calls the test's handler for each.
 class Server {
   public:
     struct Peer : std::enable_shared_from_this<Peer> {
@@ -61,8 +61,10 @@
     }
     tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
     std::string address() const { return "127.0.0.1:" + std::to_string(endpoint().port()); }
-    std::vector<std::shared_ptr<Peer>> peers;  // every connection there was
-    std::vector<std::string> targets;          // of the requests heard
+    // All connections accepted so far.
+    std::vector<std::shared_ptr<Peer>> peers;
+    // The targets of the requests received so far.
+    std::vector<std::string> targets;
     std::vector<Request> requests;
 
   private:
@@ -91,7 +93,7 @@
     Handler handler_;
 };
 
-// A client that sends text as it is and keeps what comes.
+// An HTTP client that sends text unchanged and stores everything that it receives.
 class Client {
   public:
     Client(asio::io_context& io, const tcp::endpoint& to) : state_(std::make_shared<State>(io)) {
@@ -102,22 +104,23 @@
     void close() { state_->socket.close(); }
     const std::string& heard() const { return state_->heard; }
     bool ended() const { return state_->ended; }
-    // The answers that came whole, in order.
+    // Parses the complete responses received so far, in order.
     std::vector<Answer> answers() const {
         std::vector<Answer> all;
-        std::string_view rest = state_->heard;
-        while (!rest.empty()) {
+        std::string_view unparsed = state_->heard;
+        while (!unparsed.empty()) {
             http::response_parser<http::string_body> parser;
             parser.eager(true);
             error_code ec;
-            std::size_t used = 0, once = 1;
-            while (!ec && !parser.is_done() && once > 0) {
-                once = parser.put(asio::buffer(rest.data() + used, rest.size() - used), ec);
-                used += once;
+            std::size_t consumed_total = 0, consumed = 1;
+            while (!ec && !parser.is_done() && consumed > 0) {
+                consumed = parser.put(
+                    asio::buffer(unparsed.data() + consumed_total, unparsed.size() - consumed_total), ec);
+                consumed_total += consumed;
             }
             if (ec || !parser.is_done()) break;
             all.push_back(parser.release());
-            rest.remove_prefix(used);
+            unparsed.remove_prefix(consumed_total);
         }
         return all;
     }
@@ -140,7 +143,8 @@
     std::shared_ptr<State> state_;
 };
 
-// An address at which connections never come up: the kernel's queue of a listener that accepts none is full.
+// An address at which connections are never established: the listener accepts none, and its backlog in the
+// kernel is full.
 class NeverUp {
   public:
     explicit NeverUp(asio::io_context& io) : acceptor_(io) {
--- a/tests/server/program.h
+++ b/tests/server/program.h
@@ -14,10 +14,12 @@
 
 namespace gateway::server::test {
 
-// A process of the program with a configuration file of its own. The destructor kills it if it still runs.
+// A process of api_gateway with its own configuration file. The destructor kills the process if it still
+// runs.
 class Program {
   public:
-    // `handover_folder`: shared by the processes of one gateway; empty: there is none.
+    // `handover_folder`: the folder that the processes of one gateway share for upgrades; if empty, there is
+    // none.
     explicit Program(const std::string& config, const std::string& handover_folder = {})
         : folder_(make_folder()) {
         write(config);
@@ -40,28 +42,32 @@
     // Overwrites the configuration file.
     void write(const std::string& config) { std::ofstream(file()) << config; }
     void signal(int number) { ::kill(id_, number); }
-    // Also if it could not be started.
+    // Whether the process has ended or could not be started.
     [[nodiscard]] bool ended() {
         if (id_ <= 0 || ended_) return true;
         ended_ = ::waitpid(id_, &status_, WNOHANG) == id_;
         return ended_;
     }
-    // Of a process that has ended; -1 if a signal ended it.
+    // The exit status of a process that has ended; -1 if a signal terminated it.
     [[nodiscard]] int exit_status() const { return WIFEXITED(status_) ? WEXITSTATUS(status_) : -1; }
 
-    // An empty folder; the caller removes it.
+    // Creates an empty temporary folder. The caller has to remove it.
     [[nodiscard]] static std::filesystem::path make_folder() {
         std::string name = (std::filesystem::temp_directory_path() / "api-gateway-XXXXXX").string();
-        if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder for the test");
+        if (::mkdtemp(name.data()) == nullptr)
+            throw std::runtime_error("cannot create a temporary folder for the test");
         return name;
     }
 
   private:
     [[nodiscard]] std::filesystem::path file() const { return folder_ / "config.json"; }
     std::filesystem::path folder_;
-    pid_t id_ = -1;       // of the process; -1: not started
-    int status_ = 0;      // as waitpid gives it
-    bool ended_ = false;  // and has been waited for
+    // The process id; -1: the process could not be started.
+    pid_t id_ = -1;
+    // The status that waitpid has returned.
+    int status_ = 0;
+    // Whether waitpid has reported the end of the process.
+    bool ended_ = false;
 };
 
 }  // namespace gateway::server::test
--- a/tests/server/program_test.cpp
+++ b/tests/server/program_test.cpp
@@ -1,4 +1,4 @@
-// The program: signals and exit status.
+// Tests of the program api_gateway: signals and exit status.
 #include "program.h"
 
 namespace gateway::server::test {
@@ -16,7 +16,7 @@
         peer.ok(R"({"rev":9,"all":true,"targets":[]})");
 }
 
-TEST(Program, ReloadsItsConfigurationOnHangupAndShutsDownOnTerm) {
+TEST(Program, ReloadsItsConfigurationOnSighupAndShutsDownOnSigterm) {
     asio::io_context io;
     Server first(io, answer_empty_list), second(io, answer_empty_list);
     Program program(config(first.address()));
@@ -24,7 +24,7 @@
     program.write(config(second.address()));
     program.signal(SIGHUP);
     ASSERT_TRUE(run_until(io, [&] { return second.requests.size() >= 2; }));
-    // An invalid file changes nothing, and the next signal still counts.
+    // An invalid file changes nothing, and the program still handles the next signal.
     program.write("{broken");
     program.signal(SIGHUP);
     const std::size_t before = second.requests.size();
@@ -39,9 +39,9 @@
     EXPECT_EQ(program.exit_status(), 0);
 }
 
-// The previous discovery closes its connections soon after the signal, whether the file could be read then or
-// not.
-TEST(Program, RetriesAConfigurationThatIsHalfWrittenAtTheSignal) {
+// Guards against a reload that gives up on a partly written file: the previous discovery server closes its
+// connections soon after the signal, whether the file was readable by then or not.
+TEST(Program, RetriesAConfigurationThatIsPartlyWrittenAtSighup) {
     asio::io_context io;
     Server first(io, answer_empty_list), second(io, answer_empty_list);
     Program program(config(first.address()));
@@ -49,8 +49,8 @@
     const std::string complete = config(second.address());
     program.write(complete.substr(0, complete.size() / 2));
     program.signal(SIGHUP);
-    const auto later = std::chrono::steady_clock::now() + 300ms;
-    ASSERT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() >= later; }));
+    const auto resume_at = std::chrono::steady_clock::now() + 300ms;
+    ASSERT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() >= resume_at; }));
     program.write(complete);
     ASSERT_TRUE(run_until(io, [&] { return !second.requests.empty(); }));
 }
--- a/tests/server/request_validator_test.cpp
+++ b/tests/server/request_validator_test.cpp
@@ -40,7 +40,7 @@
     RequestValidator validator{settings()};
     RequestAttributes attributes;
 
-    // The message of the error; empty if the request is valid.
+    // Returns the error message; empty if the request is valid.
     std::string error_of(const Request& request) {
         const std::optional<RequestError> error = validator.validate(request, attributes);
         return error ? error->message : "";
@@ -62,9 +62,10 @@
     EXPECT_EQ(attributes.time_left, 70ms);
 }
 
-TEST_F(RequestValidatorTest, UsesTheSettingsForWhatARequestOmits) {
+TEST_F(RequestValidatorTest, UsesTheSettingsForOmittedHeaders) {
     Request request = valid_request();
-    request.set("X-Expires-In-Ms", "100000");  // beyond the class's deadline
+    // Longer than the deadline of the class.
+    request.set("X-Expires-In-Ms", "100000");
     EXPECT_EQ(error_of(request), "");
     EXPECT_EQ(attributes.units, 1);
     EXPECT_EQ(attributes.set_size, 4);
@@ -72,7 +73,7 @@
     EXPECT_EQ(attributes.time_left, 100ms);
 }
 
-TEST_F(RequestValidatorTest, NamesTheHeaderThatIsInvalid) {
+TEST_F(RequestValidatorTest, ErrorsNameTheInvalidHeader) {
     const std::vector<std::pair<std::string, std::string>> invalid{
         {"X-Trace-Id", ""},
         {"X-Trace-Id", std::string(129, 'a')},
@@ -102,7 +103,7 @@
     EXPECT_EQ(error_of(request), "X-Qos: expected once");
 }
 
-TEST_F(RequestValidatorTest, RejectsAMethodOrABodyThatTheClassDoesNotHave) {
+TEST_F(RequestValidatorTest, RejectsAMethodOrABodyThatTheClassDoesNotAllow) {
     Request request = valid_request();
     request.method(http::verb::post);
     const std::optional<RequestError> error = validator.validate(request, attributes);
--- a/tests/server/shutdown_test.cpp
+++ b/tests/server/shutdown_test.cpp
@@ -1,10 +1,10 @@
-// A planned shutdown: what is in flight is answered, idle connections are closed.
+// A graceful shutdown: requests in flight are answered, and idle connections are closed.
 #include "gateway_fixture.h"
 
 namespace gateway::server::test {
 namespace {
 
-TEST_F(GatewayTest, AShutdownFinishesWhatIsInFlight) {
+TEST_F(GatewayTest, AShutdownAnswersRequestsInFlight) {
     on_request = [](auto&) {};
     ASSERT_TRUE(starts());
     Client idle(io, address()), busy(io, address());
@@ -13,7 +13,8 @@
     bool done = false;
     gateway().drain([&] { done = true; });
     ASSERT_TRUE(run_until(io, [&] { return idle.ended(); }));
-    Client fresh(io, address());  // connections go on coming for a while
+    // Clients still connect for a while after the signal.
+    Client fresh(io, address());
     fresh.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     ASSERT_TRUE(answered(fresh));
     EXPECT_EQ(fresh.answers()[0].result_int(), 503u);
@@ -25,14 +26,14 @@
     EXPECT_TRUE(run_until(io, [&] { return done; }));
 }
 
-// A request in a connection that the machine has accepted counts as taken, also if the loop has not seen it
-// yet when the listener is about to close.
-TEST_F(GatewayTest, WhatTheMachineHasAcceptedIsTakenInBeforeTheEnd) {
-    std::vector<ClientRequest> taken;
-    SocketBudget places(40);
+// A request on a connection that the kernel has accepted must be served, even if the event loop has not
+// accepted the connection yet when the listener is about to close.
+TEST_F(GatewayTest, AShutdownServesConnectionsInTheBacklog) {
+    std::vector<ClientRequest> received;
+    SocketBudget socket_budget(40);
     ClientServer server(
-        io, any_port(), places, 1 << 20,
-        {[&](ClientRequest&& r) { taken.push_back(std::move(r)); }, [](auto) {}, [] { return true; }});
+        io, any_port(), socket_budget, 1 << 20,
+        {[&](ClientRequest&& r) { received.push_back(std::move(r)); }, [](auto) {}, [] { return true; }});
     server.open();
     server.drain();
     Client first(io, server.local_endpoint()), second(io, server.local_endpoint());
@@ -40,23 +41,24 @@
     second.say(request("b"));
     EXPECT_TRUE(server.accept_backlog());
     EXPECT_FALSE(server.accept_backlog());
-    ASSERT_TRUE(run_until(io, [&] { return taken.size() == 2; }));
+    ASSERT_TRUE(run_until(io, [&] { return received.size() == 2; }));
     EXPECT_FALSE(server.is_idle());
-    for (const ClientRequest& r : taken) server.answer(r.id, make_answer(http::status::ok, "last"));
+    for (const ClientRequest& r : received) server.answer(r.id, make_answer(http::status::ok, "last"));
     ASSERT_TRUE(answered(first) && answered(second));
     EXPECT_TRUE(server.is_idle());
 }
 
-// The end looks for what is open between two turns of the loop, and a request may lie in the kernel by then.
-TEST_F(GatewayTest, ARequestThatTheLoopHasNotSeenYetDelaysTheShutdown) {
-    SocketBudget places(40);
+// The shutdown checks for open requests between two iterations of the event loop. At that time, a request may
+// be in the kernel's buffers only.
+TEST_F(GatewayTest, AnUnreadRequestInTheKernelDelaysTheShutdown) {
+    SocketBudget socket_budget(40);
     ClientServer server(
-        io, any_port(), places, 1 << 20,
+        io, any_port(), socket_budget, 1 << 20,
         {[&](ClientRequest&& r) { server.answer(r.id, make_answer(http::status::ok, "last")); }, [](auto) {},
          [] { return true; }});
     server.open();
     Client client(io, server.local_endpoint());
-    ASSERT_TRUE(run_until(io, [&] { return places.in_use(SocketBudget::Side::client) == 1; }));
+    ASSERT_TRUE(run_until(io, [&] { return socket_budget.in_use(SocketBudget::Side::client) == 1; }));
     server.drain();
     EXPECT_TRUE(server.is_idle());
     client.say(request("a"));
@@ -65,14 +67,15 @@
     EXPECT_TRUE(server.is_idle());
 }
 
-// Found in the code: between the look at a resting connection and its close a request may come, and the close
-// over it was a reset. Forced here by bytes that come right behind the end.
-TEST_F(GatewayTest, AnIdleConnectionEndsWithoutAResetWhateverComesThen) {
-    SocketBudget places(40);
-    int taken = 0;
-    ClientServer server(io, any_port(), places, 1 << 20,
+// Guards against a reset: a request could arrive between the check that a connection is idle and its close,
+// and closing with unread bytes reset the connection. The test forces this with bytes that arrive right after
+// the gateway has shut down its sending side.
+TEST_F(GatewayTest, AnIdleConnectionClosesWithoutAResetWhenARequestArrives) {
+    SocketBudget socket_budget(40);
+    int received = 0;
+    ClientServer server(io, any_port(), socket_budget, 1 << 20,
                         {[&](ClientRequest&& arrived) {
-                             ++taken;
+                             ++received;
                              server.answer(arrived.id, make_answer(http::status::ok, "last"));
                          },
                          [](auto) {}, [] { return true; }});
@@ -80,48 +83,49 @@
     tcp::socket client(io);
     client.connect(server.local_endpoint());
     asio::write(client, asio::buffer(request("a")));
-    ASSERT_TRUE(run_until(io, [&] { return taken == 1; }));
-    server.drain();  // the answer lies unread at the client
+    ASSERT_TRUE(run_until(io, [&] { return received == 1; }));
+    // The client has not read the answer yet.
+    server.drain();
     asio::write(client, asio::buffer(request("b")));
     io.poll();
     error_code reset, end;
     asio::write(client, asio::buffer(request("c")), reset);
     EXPECT_FALSE(reset) << reset.message();
-    std::string heard;
-    asio::read(client, asio::dynamic_buffer(heard), end);
+    std::string response;
+    asio::read(client, asio::dynamic_buffer(response), end);
     EXPECT_EQ(end, asio::error::eof);
-    EXPECT_NE(heard.find("last"), std::string::npos);
+    EXPECT_NE(response.find("last"), std::string::npos);
     client.close();
-    ASSERT_TRUE(run_until(io, [&] { return places.in_use(SocketBudget::Side::client) == 0; }));
-    EXPECT_EQ(taken, 1) << "what came behind the end was served";
+    ASSERT_TRUE(run_until(io, [&] { return socket_budget.in_use(SocketBudget::Side::client) == 0; }));
+    EXPECT_EQ(received, 1) << "a request after the shutdown of the connection was served";
 }
 
-// SIGKILL comes 3.7 s after SIGTERM at the soonest, however long a request may wait.
-TEST_F(GatewayTest, WhatIsInFlightIsAnsweredBeforeAShutdownIsForced) {
+// SIGKILL follows SIGTERM by at least 3.7 s, however long the request's deadline is.
+TEST_F(GatewayTest, RequestsInFlightAreAnsweredBeforeSigkill) {
     on_request = [](auto&) {};
     ASSERT_TRUE(starts());
     Client client(io, address());
     client.say(request("a", "", "read"));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
-    const auto begun = std::chrono::steady_clock::now();
+    const auto started_at = std::chrono::steady_clock::now();
     bool done = false;
     gateway().drain([&] { done = true; });
     ASSERT_TRUE(run_until(io, [&] { return done; }));
-    EXPECT_LT(std::chrono::steady_clock::now() - begun, 3700ms);
+    EXPECT_LT(std::chrono::steady_clock::now() - started_at, 3700ms);
     ASSERT_TRUE(answered(client));
     EXPECT_NE(client.answers()[0].result_int(), 200u);
 }
 
-TEST_F(GatewayTest, AHalfRequestDoesNotDelayAShutdown) {
+TEST_F(GatewayTest, AnIncompleteRequestDoesNotDelayAShutdown) {
     deadline_ms = 100;
     ASSERT_TRUE(starts());
-    Client half(io, address());
-    half.say("GET / HTTP/1.1\r\n");
+    Client incomplete(io, address());
+    incomplete.say("GET / HTTP/1.1\r\n");
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 1; }));
     bool done = false;
     gateway().drain([&] { done = true; });
     EXPECT_TRUE(run_until(io, [&] { return done; }));
-    EXPECT_FALSE(half.ended());
+    EXPECT_FALSE(incomplete.ended());
 }
 
 }  // namespace
--- a/tests/server/streamed_response_test.cpp
+++ b/tests/server/streamed_response_test.cpp
@@ -1,19 +1,18 @@
-// Responses that are streamed to the client.
+// Responses that are streamed to the client because of their size.
 #include "gateway_fixture.h"
 
 namespace gateway::server::test {
 namespace {
 
-// ---- long answers ----
-
 struct StreamedResponseTest : GatewayTest {
     static std::string bytes(std::size_t size) {
         std::string text(size, 'x');
         for (std::size_t i = 0; i < size; i += 97) text[i] = static_cast<char>('a' + i % 26);
         return text;
     }
-    // Writes as the gateway takes it, which on one loop with it a blocking write could not.
-    static void say_all(Server::Peer& peer, std::shared_ptr<std::string> text, bool then_close = false) {
+    // Writes asynchronously, because the gateway reads on the same event loop, which a blocking write would
+    // stop.
+    static void write_all(Server::Peer& peer, std::shared_ptr<std::string> text, bool then_close = false) {
         asio::async_write(peer.socket, asio::buffer(*text),
                           [text, peer = peer.shared_from_this(), then_close](error_code, std::size_t) {
                               if (then_close) peer->close();
@@ -21,21 +20,21 @@
     }
 };
 
-TEST_F(StreamedResponseTest, GoesToTheClientUnchangedInEveryCoding) {
+TEST_F(StreamedResponseTest, IsForwardedUnchangedInEveryTransferCoding) {
     const std::string body = bytes(3000000);
     std::string chunked;
-    for (std::size_t at = 0; at < body.size(); at += 70001)
-        chunked += as_chunk(std::string_view(body).substr(at, 70001));
-    const auto told =
+    for (std::size_t offset = 0; offset < body.size(); offset += 70001)
+        chunked += as_chunk(std::string_view(body).substr(offset, 70001));
+    const auto with_length =
         std::make_shared<std::string>("HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n" + body);
-    const auto coded = std::make_shared<std::string>("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                                                     chunked + "0\r\nX-Sum: 1\r\n\r\n");
-    const auto open = std::make_shared<std::string>("HTTP/1.1 200 OK\r\n\r\n" + body);
+    const auto with_chunks = std::make_shared<std::string>(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked + "0\r\nX-Sum: 1\r\n\r\n");
+    const auto until_close = std::make_shared<std::string>("HTTP/1.1 200 OK\r\n\r\n" + body);
     ASSERT_TRUE(starts());
     Client client(io, address());
     std::size_t n = 0;
-    for (const auto& text : {told, coded, open, told}) {
-        on_request = [&](auto& peer) { say_all(peer, text, text == open); };
+    for (const auto& text : {with_length, with_chunks, until_close, with_length}) {
+        on_request = [&](auto& peer) { write_all(peer, text, text == until_close); };
         client.say(request("a" + std::to_string(n)));
         ASSERT_TRUE(run_until(
             io, [&] { return client.heard().size() > body.size() * (n + 1) && answered(client, n + 1); }));
@@ -46,7 +45,7 @@
     EXPECT_FALSE(client.ended());
 }
 
-TEST_F(StreamedResponseTest, WaitsForAClientThatTakesItsTime) {
+TEST_F(StreamedResponseTest, WaitsForASlowClient) {
     ASSERT_TRUE(starts());
     const std::string body = bytes(30000000);
     const auto text =
@@ -64,9 +63,9 @@
     tcp::socket slow(io);
     slow.connect(address());
     asio::write(slow, asio::buffer(request("a")));
-    const auto until = std::chrono::steady_clock::now() + 500ms;
-    EXPECT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() > until; }));
-    // What the kernel's buffers hold, and little more here.
+    const auto resume_at = std::chrono::steady_clock::now() + 500ms;
+    EXPECT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() > resume_at; }));
+    // The host could write only as much as the kernel's buffers hold, plus a little in the gateway.
     EXPECT_LT(written, 20000000u);
     std::size_t heard = 0;
     std::vector<char> chunk(65536);
@@ -81,7 +80,7 @@
     slow.close();
 }
 
-TEST_F(StreamedResponseTest, OneThatBreaksOffShowsAndTheGatewayGoesOn) {
+TEST_F(StreamedResponseTest, AnIncompleteResponseClosesTheConnectionAndTheGatewayServesOthers) {
     ASSERT_TRUE(starts());
     on_request = [](auto& peer) {
         peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
@@ -99,7 +98,7 @@
     EXPECT_EQ(other.answers()[0].body(), "served");
 }
 
-TEST_F(StreamedResponseTest, AClientThatLeavesEndsTheAttempt) {
+TEST_F(StreamedResponseTest, ADisconnectOfTheClientEndsTheAttempt) {
     ASSERT_TRUE(starts());
     const auto text = std::make_shared<std::string>("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" +
                                                     std::string(30000000, 'x'));
--- a/tests/server/timer_queue_test.cpp
+++ b/tests/server/timer_queue_test.cpp
@@ -19,7 +19,7 @@
                       [this](decision::RequestId id) { fired.push_back("deadline " + std::to_string(id)); }}};
 };
 
-TEST_F(TimerQueueTest, RunsEntriesInTheOrderOfTheirTimes) {
+TEST_F(TimerQueueTest, RunsEntriesInOrderOfTheirDueTimes) {
     const Micros now = clock.now();
     queue.add_timer(now + 6ms, 3);
     queue.add_deadline(now + 4ms, 2);
@@ -36,7 +36,8 @@
     queue.arm();
     queue.add_timer(now + 1ms, 1);
     queue.arm();
-    io.run_one();  // the wake-up that the second call replaces
+    // Runs the cancelled wake-up that the second call of `arm` replaces.
+    io.run_one();
     io.run_one();
     EXPECT_EQ(fired, std::vector<std::string>{"timer 1"});
 }
--- a/tests/server/upgrade_compatibility_test.cpp
+++ b/tests/server/upgrade_compatibility_test.cpp
@@ -1,5 +1,5 @@
-// The handover between this program and the one of commit 77e24d2, whose part the test plays. What that
-// program sends is recorded: tests/fixtures/README.md
+// Tests of the handover between this program and the one of commit 77e24d2, whose part the test plays. The
+// messages of that program are recorded; see tests/fixtures/README.md.
 #include <sstream>
 
 #include "../fixtures/fixtures.h"
@@ -12,14 +12,15 @@
 using HandoverSocket = HandoverProtocol::socket;
 using HandoverAcceptor = asio::basic_socket_acceptor<HandoverProtocol>;
 
-// Each message begins with the byte that tells its kind.
+// Each message begins with the byte that identifies its kind.
 const std::string greeting = "hspartrack 1";
-const std::string take_over = "t";
+const std::string takeover_request = "t";
 constexpr char idle_host_connection = 'o';
 constexpr std::string_view socket_name_prefix = "spartrack-";
 constexpr std::size_t max_handover_message = 64 * 1024 + 1;
 
-// The lines of handover-77e24d2.txt. Kinds are the first bytes of the messages after the greeting, in order.
+// The lines of handover-77e24d2.txt. The strings of kinds consist of the first bytes of the messages after
+// the greeting, in order.
 struct RecordedHandover {
     std::string greeting;
     std::string kinds_in_service;
@@ -36,7 +37,7 @@
 
 struct UpgradeCompatibility : ::testing::Test {
     asio::io_context io;
-    const std::filesystem::path shared = Program::make_folder();
+    const std::filesystem::path handover_folder = Program::make_folder();
     Server first_host{io, [](Server::Peer& peer) { peer.ok("first"); }};
     Server second_host{io, [](Server::Peer& peer) { peer.ok("second"); }};
     Server discovery{io, [this](Server::Peer& peer) { answer_discovery(peer); }};
@@ -44,7 +45,7 @@
     const std::uint16_t peers_port = free_port();
     const std::uint16_t admin_port = free_port();
 
-    void TearDown() override { std::filesystem::remove_all(shared); }
+    void TearDown() override { std::filesystem::remove_all(handover_folder); }
 
     static std::uint16_t free_port() {
         asio::io_context unused;
@@ -52,7 +53,7 @@
     }
     static tcp::endpoint endpoint(std::uint16_t port) { return {asio::ip::address_v4::loopback(), port}; }
 
-    // The list of hosts once; a request that waits for a change of it is left without an answer.
+    // Sends the complete endpoint list. A call that waits for a change of the list gets no response.
     void answer_discovery(Server::Peer& peer) const {
         if (peer.request.target().find("from=") != std::string::npos) return;
         const auto row = [](const std::string& uid, const Server& host) {
@@ -76,7 +77,7 @@
                R"("guarantees":{"startCapacity":0.2,"coldUs":1000000,"fallUs":1000000}}})";
     }
 
-    // The status of the answer at the admin server; 0: none.
+    // Calls the admin server and returns the status of the response; 0: there was none.
     unsigned call_admin(const std::string& request) {
         asio::io_context unused;
         tcp::socket attempt(unused);
@@ -113,14 +114,14 @@
 
     // The socket at which a process that serves waits for the one after it.
     std::filesystem::path waiting_socket() const {
-        const auto found = std::filesystem::directory_iterator(shared);
+        const auto found = std::filesystem::directory_iterator(handover_folder);
         return found == std::filesystem::directory_iterator() ? std::filesystem::path() : found->path();
     }
     static asio::local::stream_protocol::endpoint address_of(const std::filesystem::path& path) {
         return {path.string()};
     }
 
-    // The next message; empty: the other side has ended or says nothing for too long.
+    // Returns the next message; empty if the other side has ended or sends none in time.
     std::string receive(HandoverSocket& socket) {
         std::string message(max_handover_message, '\0');
         std::optional<std::size_t> received;
@@ -137,16 +138,16 @@
         return message;
     }
 
-    // Plays the next process of the former version; the kinds of the messages up to the idle connection to
-    // the host, which comes last.
-    std::string take_over_from_former() {
+    // Plays the successor process of the former version. Returns the kinds of the messages up to the idle
+    // connection to the host, which comes last.
+    std::string take_over_as_former_version() {
         const std::filesystem::path path = waiting_socket();
         EXPECT_EQ(path.filename().string().substr(0, socket_name_prefix.size()), socket_name_prefix);
         HandoverSocket next(io, HandoverProtocol(AF_UNIX, 0));
         next.connect(address_of(path));
         next.send(asio::buffer(greeting), 0);
         EXPECT_EQ(receive(next), recorded_handover().greeting);
-        next.send(asio::buffer(take_over), 0);
+        next.send(asio::buffer(takeover_request), 0);
         std::string kinds;
         std::string message;
         while (kinds.find(idle_host_connection) == std::string::npos) {
@@ -159,29 +160,29 @@
     }
 };
 
-TEST_F(UpgradeCompatibility, AProcessInServiceSendsWhatTheFormerVersionSendsInTheSameOrder) {
-    Program former(config(), shared);
+TEST_F(UpgradeCompatibility, AServingProcessSendsTheSameMessagesAsTheFormerVersion) {
+    Program former(config(), handover_folder);
     ASSERT_TRUE(serves());
     ASSERT_EQ(post_admin("/maintenance/enter", "first"), 200u);
     Client client(io, endpoint(listen_port));
     ASSERT_EQ(request_on(client), 200u);
-    EXPECT_EQ(take_over_from_former(), recorded_handover().kinds_in_service);
+    EXPECT_EQ(take_over_as_former_version(), recorded_handover().kinds_in_service);
 }
 
-TEST_F(UpgradeCompatibility, AProcessOnStandbySendsWhatTheFormerVersionSendsInTheSameOrder) {
-    Program former(config(), shared);
+TEST_F(UpgradeCompatibility, AProcessOnStandbySendsTheSameMessagesAsTheFormerVersion) {
+    Program former(config(), handover_folder);
     ASSERT_TRUE(serves());
     ASSERT_EQ(post_admin("/maintenance/enter", "first"), 200u);
     Client client(io, endpoint(listen_port));
     ASSERT_EQ(request_on(client), 200u);
     ASSERT_EQ(post_admin("/standby"), 200u);
-    EXPECT_EQ(take_over_from_former(), recorded_handover().kinds_on_standby);
+    EXPECT_EQ(take_over_as_former_version(), recorded_handover().kinds_on_standby);
 }
 
-TEST_F(UpgradeCompatibility, TheNextProcessGreetsTheFormerVersionAndTakesOver) {
+TEST_F(UpgradeCompatibility, TheSuccessorGreetsTheFormerVersionAndRequestsTheHandover) {
     std::filesystem::path path;
     {
-        Program earlier(config(), shared);
+        Program earlier(config(), handover_folder);
         ASSERT_TRUE(serves());
         path = waiting_socket();
         earlier.signal(SIGKILL);
@@ -192,14 +193,14 @@
     HandoverAcceptor former(io, HandoverProtocol(AF_UNIX, 0));
     former.bind(address_of(path));
     former.listen();
-    Program next(config(), shared);
-    HandoverSocket comer(io);
+    Program next(config(), handover_folder);
+    HandoverSocket accepted_socket(io);
     bool accepted = false;
-    former.async_accept(comer, [&](error_code failed) { accepted = !failed; });
+    former.async_accept(accepted_socket, [&](error_code failed) { accepted = !failed; });
     ASSERT_TRUE(run_until(io, [&] { return accepted; }));
-    EXPECT_EQ(receive(comer), recorded_handover().greeting);
-    comer.send(asio::buffer(greeting), 0);
-    EXPECT_EQ(receive(comer), take_over);
+    EXPECT_EQ(receive(accepted_socket), recorded_handover().greeting);
+    accepted_socket.send(asio::buffer(greeting), 0);
+    EXPECT_EQ(receive(accepted_socket), takeover_request);
 }
 
 }  // namespace
--- a/tests/server/upgrade_test.cpp
+++ b/tests/server/upgrade_test.cpp
@@ -1,4 +1,4 @@
-// Upgrades: a second process on the addresses of one that serves.
+// Upgrades: a second process starts with the addresses of a serving one and takes over from it.
 #include "program.h"
 
 namespace gateway::server::test {
@@ -7,19 +7,19 @@
 struct UpgradeTest : ::testing::Test {
     asio::io_context io;
     std::filesystem::path handover_folder = Program::make_folder();
-    Server host{io, [this](auto& p) { on_request(p, "h"); }};
-    Server other{io, [this](auto& p) { on_request(p, "g"); }};
-    std::function<void(Server::Peer&, const std::string&)> on_request = [](auto& p, const auto& name) {
-        p.ok(name);
+    Server host{io, [this](auto& peer) { on_request(peer, "h"); }};
+    Server other{io, [this](auto& peer) { on_request(peer, "g"); }};
+    std::function<void(Server::Peer&, const std::string&)> on_request = [](auto& peer, const auto& name) {
+        peer.ok(name);
     };
-    Server agent{
-        io, [this](auto& p) {
-            if (p.request.target().find("from=") != std::string::npos) return;
-            const auto row = [](const std::string& uid, const Server& at) {
-                return R"({"uid":")" + uid + R"(","endpoint":")" + at.address() +
+    Server discovery{
+        io, [this](auto& peer) {
+            if (peer.request.target().find("from=") != std::string::npos) return;
+            const auto row = [](const std::string& uid, const Server& server) {
+                return R"({"uid":")" + uid + R"(","endpoint":")" + server.address() +
                        R"(","az":"a","model":"m","state":"ready","capacity_hint":1,"boot_ms":0})";
             };
-            p.ok(R"({"rev":1,"all":true,"targets":[)" + row("h", host) + "," + row("g", other) + "]}");
+            peer.ok(R"({"rev":1,"all":true,"targets":[)" + row("h", host) + "," + row("g", other) + "]}");
         }};
     const std::uint16_t listen = free_port(), peers = free_port(), first_admin = free_port(),
                         next_admin = free_port();
@@ -29,12 +29,12 @@
         asio::io_context unused;
         return tcp::acceptor(unused, any_port()).local_endpoint().port();
     }
-    static tcp::endpoint at(std::uint16_t port) { return {asio::ip::address_v4::loopback(), port}; }
+    static tcp::endpoint loopback(std::uint16_t port) { return {asio::ip::address_v4::loopback(), port}; }
     std::string config(std::uint16_t admin) const {
         const auto address = [](std::uint16_t port) { return "\"127.0.0.1:" + std::to_string(port) + "\""; };
         return R"({"name":"n0","listen":)" + address(listen) + R"(,"mgmt":)" + address(admin) +
                R"(,"peer_listen":)" + address(peers) + R"(,"peers":[)" + address(peers) +
-               R"(],"discovery":")" + agent.address() +
+               R"(],"discovery":")" + discovery.address() +
                R"(","settings":{"rank":0,"instances":1,"locality":"a","tickUs":4000,)"
                R"("tiersOfService":[{"name":"basic","rate":0.01,"mostAtOnce":20,"worthFactor":1},)"
                R"({"name":"wide","rate":10000,"mostAtOnce":10000,"worthFactor":1}],)"
@@ -47,10 +47,10 @@
         asio::io_context probe_io;
         tcp::socket socket(probe_io);
         error_code ec;
-        socket.connect(at(admin), ec);
+        socket.connect(loopback(admin), ec);
         if (ec) return 0;
         socket.close();
-        Client client(io, at(admin));
+        Client client(io, loopback(admin));
         client.say(text);
         EXPECT_TRUE(run_until(io, [&] { return client.ended(); }));
         return client.answers().empty() ? 0u : client.answers()[0].result_int();
@@ -74,7 +74,7 @@
                (plan == "wide" ? "1" : "2") + "\r\nX-Expires-In-Ms: 4000\r\n" +
                "X-Metering: units=1,spread=1,first=0\r\n\r\n";
     }
-    // Sends a request and returns the status of the next answer; 0: the connection has ended without one.
+    // Sends a request and returns the status of the next response; 0: the connection has ended without one.
     unsigned status_of(Client& client, const std::string& text) {
         const std::size_t before = client.answers().size();
         client.say(text);
@@ -86,14 +86,14 @@
 TEST_F(UpgradeTest, KeepAliveConnectionsMoveToTheSuccessor) {
     Program first(config(first_admin), handover_folder);
     ASSERT_TRUE(becomes_ready(first_admin));
-    Client idle(io, at(listen)), busy(io, at(listen)), half_sent(io, at(listen));
+    Client idle(io, loopback(listen)), busy(io, loopback(listen)), half_sent(io, loopback(listen));
     ASSERT_EQ(status_of(idle, request("a")), 200u);
-    // One request is in flight during the upgrade, and one is half sent.
+    // During the upgrade, one request is in flight and another is partly sent.
     std::shared_ptr<Server::Peer> in_flight;
-    on_request = [&](auto& p, const auto&) { in_flight = p.shared_from_this(); };
+    on_request = [&](auto& peer, const auto&) { in_flight = peer.shared_from_this(); };
     busy.say(request("b"));
     ASSERT_TRUE(run_until(io, [&] { return in_flight != nullptr; }));
-    on_request = [](auto& p, const auto& name) { p.ok(name); };
+    on_request = [](auto& peer, const auto& name) { peer.ok(name); };
     const std::string text = request("c");
     half_sent.say(text.substr(0, 40));
     Program next(config(next_admin), handover_folder);
@@ -111,25 +111,26 @@
     EXPECT_EQ(first.exit_status(), 0);
     EXPECT_EQ(status_of(idle, request("e")), 200u);
     EXPECT_EQ(status_of(busy, request("f")), 200u);
-    Client fresh(io, at(listen));
+    Client fresh(io, loopback(listen));
     EXPECT_EQ(status_of(fresh, request("g")), 200u);
 }
 
-// The successor requests the takeover and ends at once. The predecessor is stopped meanwhile, so that it
-// always finds the request and the end of the connection together.
-TEST_F(UpgradeTest, UndeliveredConnectionsReturnFromASuccessorThatEnds) {
+// The successor requests the handover and ends at once. The predecessor is stopped meanwhile, so that
+// it always finds the request and the end of the connection together.
+TEST_F(UpgradeTest, UndeliveredConnectionsAreServedByThePredecessorIfTheSuccessorEnds) {
     Program first(config(first_admin), handover_folder);
     ASSERT_TRUE(becomes_ready(first_admin));
-    Client idle(io, at(listen)), half_sent(io, at(listen));
+    Client idle(io, loopback(listen)), half_sent(io, loopback(listen));
     ASSERT_EQ(status_of(idle, request("a")), 200u);
     const std::string text = request("b");
     first.signal(SIGSTOP);
     half_sent.say(text.substr(0, 40));
     {
-        const std::filesystem::path place = std::filesystem::directory_iterator(handover_folder)->path();
+        const std::filesystem::path socket_path =
+            std::filesystem::directory_iterator(handover_folder)->path();
         using Channel = asio::generic::seq_packet_protocol;
         Channel::socket next(io, Channel(AF_UNIX, 0));
-        next.connect(asio::local::stream_protocol::endpoint(place.string()));
+        next.connect(asio::local::stream_protocol::endpoint(socket_path.string()));
         next.send(asio::buffer(std::string("hspartrack 1")), 0);
         next.send(asio::buffer(std::string("t")), 0);
     }
@@ -138,14 +139,14 @@
     half_sent.say(text.substr(40));
     ASSERT_TRUE(run_until(io, [&] { return half_sent.answers().size() == 1 || half_sent.ended(); }));
     EXPECT_EQ(half_sent.answers().size(), 1u);
-    Client fresh(io, at(listen));
+    Client fresh(io, loopback(listen));
     EXPECT_EQ(status_of(fresh, request("d")), 200u);
 }
 
-TEST_F(UpgradeTest, QuotaSpentBeforeTheUpgradeStaysSpent) {
+TEST_F(UpgradeTest, QuotaUsedBeforeTheUpgradeStaysUsed) {
     Program first(config(first_admin), handover_folder);
     ASSERT_TRUE(becomes_ready(first_admin));
-    Client client(io, at(listen));
+    Client client(io, loopback(listen));
     int served = 0;
     int sent = 0;
     while (sent < 100 && status_of(client, request("a" + std::to_string(sent++), "basic")) == 200) ++served;
@@ -165,18 +166,18 @@
     Program next(config(next_admin), handover_folder);
     ASSERT_TRUE(becomes_ready(next_admin));
     for (int i = 0; i < 10; ++i) {
-        Client client(io, at(listen));
+        Client client(io, loopback(listen));
         EXPECT_EQ(status_of(client, request("a" + std::to_string(i))), 200u);
         EXPECT_FALSE(client.answers().at(0).keep_alive());
     }
     EXPECT_EQ(host.requests.size(), 0u);
-    // Calls to the predecessor's admin server take effect at the successor.
+    // Calls to the predecessor's admin server take effect in the successor.
     EXPECT_EQ(admin_call(first_admin, post("/active")), 200u);
     EXPECT_EQ(admin_call(first_admin, post("/maintenance/exit", "h")), 200u);
     EXPECT_EQ(admin_call(first_admin, post("/maintenance/enter", "g")), 200u);
     first.signal(SIGTERM);
     ASSERT_TRUE(run_until(io, [&] { return first.ended(); }));
-    Client client(io, at(listen));
+    Client client(io, loopback(listen));
     EXPECT_EQ(status_of(client, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"), 200u);
     const std::size_t before = other.requests.size();
     for (int i = 0; i < 300 && host.requests.empty(); ++i) {
@@ -196,14 +197,14 @@
         next.signal(SIGKILL);
         ASSERT_TRUE(run_until(io, [&] { return next.ended(); }));
     }
-    Client client(io, at(listen));
+    Client client(io, loopback(listen));
     EXPECT_EQ(status_of(client, request("a")), 200u);
     Program third(config(next_admin), handover_folder);
     ASSERT_TRUE(becomes_ready(next_admin));
     EXPECT_EQ(status_of(client, request("b")), 200u);
 }
 
-TEST_F(UpgradeTest, ADeadOrSilentPredecessorIsSkipped) {
+TEST_F(UpgradeTest, APredecessorThatHasEndedOrDoesNotRespondIsSkipped) {
     {
         Program dead(config(first_admin), handover_folder);
         ASSERT_TRUE(becomes_ready(first_admin));
@@ -219,7 +220,7 @@
     EXPECT_LT(std::chrono::steady_clock::now() - before, 6s);
     first.signal(SIGKILL);
     ASSERT_TRUE(run_until(io, [&] { return first.ended(); }));
-    Client client(io, at(listen));
+    Client client(io, loopback(listen));
     EXPECT_EQ(status_of(client, request("a")), 200u);
 }
 
