--- a/src/server/client_connection_set.h
+++ b/src/server/client_connection_set.h
@@ -27,8 +27,8 @@
 
     void add_newcomer(const std::shared_ptr<ClientConnection>& connection);
     void add_known(const std::shared_ptr<ClientConnection>& connection);
-    // For a connection that has sent a complete request: it is evicted after all newcomers and after the
-    // known connections that were used before it.
+    // For a connection that has sent a complete request: it is evicted after newcomers that have been silent
+    // for a while and after the known connections that were used before it.
     void move_to_known(ClientConnection& connection);
     // For a paused connection: it is evicted before known connections and before newcomers that are added
     // later.
--- a/src/server/client_request_reader.h
+++ b/src/server/client_request_reader.h
@@ -49,6 +49,7 @@
 
     // Returns the space for one read.
     [[nodiscard]] boost::asio::mutable_buffer prepare() { return buffer_.prepare(read_bytes); }
+    // Reports that `bytes` bytes have been read into the space that `prepare` returned.
     void commit(std::size_t bytes) { buffer_.commit(bytes); }
     // Whether the buffer has space for a further read. It runs out if a line inside a chunked body never
     // ends, because the header limit does not apply to such lines and the parser consumes a line only when it
--- a/src/server/client_response_encoder.h
+++ b/src/server/client_response_encoder.h
@@ -14,7 +14,7 @@
     // Sets the request to which the next response belongs. `version`: the HTTP version, 10 or 11. `head`:
     // whether the method is HEAD.
     void set_request(unsigned version, bool head);
-    // Encodes a complete response into `out`.
+    // Encodes a complete response into `out`, which it overwrites.
     void encode(Answer&& answer, bool keep_alive, std::string& out);
     // Encodes the header and the first piece of a streamed response into `out`. Returns whether the
     // connection can be kept alive: an HTTP/1.0 client detects the end of a response without a Content-Length
--- a/src/server/client_server.cpp
+++ b/src/server/client_server.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 constexpr std::chrono::milliseconds timeout_check_interval = 100ms;
-// Known connections may hold this fraction of all descriptors; beyond it, each new connection evicts the idle
-// one that was used longest ago. Guards against clients that send one request and never close their
+// Known connections may hold one in this many descriptors; beyond that, each new connection evicts the idle
+// known one that was used longest ago. Guards against clients that send one request and never close their
 // connection, so that too few descriptors are left for other clients.
 constexpr std::size_t max_known_divisor = 6;
 }  // namespace
--- a/src/server/event_dispatcher.h
+++ b/src/server/event_dispatcher.h
@@ -23,6 +23,7 @@
     EventDispatcher(decision::Gateway& gateway, const Clock& clock, Execute execute,
                     OnQueueEmpty on_queue_empty);
 
+    // Queues `event` and handles all queued events, unless it is called while another event is handled.
     void dispatch(decision::Event&& event);
     // Queues `event`, then runs `consequence`. The module thereby receives `event` before any events that
     // `consequence` causes, but only after `consequence` has returned.
--- a/src/server/handover.h
+++ b/src/server/handover.h
@@ -87,6 +87,7 @@
     // Starts to receive messages. Must be called before a send can fail, because a failed send calls
     // `on_end`.
     void start(Callbacks callbacks);
+    // Queues a message and sends as many queued messages as the socket accepts.
     void send(HandoverMessage::Kind kind, std::string payload = {}, Descriptor&& descriptor = {});
     // Closes the channel. No callback is called after this.
     void close();
@@ -123,6 +124,7 @@
     [[nodiscard]] std::shared_ptr<HandoverChannel> find() const;
     // Listens on the socket from now on, in place of any other process. A failure is logged.
     void wait(std::function<void(std::shared_ptr<HandoverChannel>)> on_successor);
+    // Stops listening.
     void stop();
 
   private:
--- a/src/server/listeners.h
+++ b/src/server/listeners.h
@@ -29,6 +29,7 @@
     void open(Descriptor&& client_listener, Descriptor&& peer_socket);
     // Lets requests of clients be processed from now on, or from `open` on if that is later.
     void start_accepting();
+    // Whether requests of clients are processed.
     [[nodiscard]] bool accepting() const noexcept { return clients_ && may_accept_; }
     // On standby, clients' health checks fail and responses close their connections.
     void set_standby(bool standby);
--- a/src/server/request_validator.h
+++ b/src/server/request_validator.h
@@ -62,8 +62,9 @@
     [[nodiscard]] Error read_plan(std::string_view name, RequestAttributes& attributes) const;
     [[nodiscard]] Error read_metering(std::string_view text, RequestAttributes& attributes) const;
 
-    std::unordered_map<std::string, RequestClass> classes_;  // by name
-    std::unordered_map<std::string, int> plans_;             // by name
+    // Both maps are keyed by name.
+    std::unordered_map<std::string, RequestClass> classes_;
+    std::unordered_map<std::string, int> plans_;
     int instances_;
     // The maximum units of one request.
     double max_units_;
