--- a/include/gateway/interface.h
+++ b/include/gateway/interface.h
@@ -1,9 +1,12 @@
 // Settings, events and actions of the decision module, and `Gateway`, which turns events into actions.
 //
-// A host process owns the clock, timers, connections and messages. It builds one `Gateway` for each gateway
-// instance, feeds it events in the order in which they happen, and carries out the actions that it appends.
-// All times are microseconds of one monotonic clock, whose origin is arbitrary. A host is an endpoint of the
-// service behind the gateway; peers are the other gateways of the fleet. Units measure what a request costs.
+// The embedding process owns the clock, timers, connections and messages. It builds one `Gateway` for each
+// gateway instance, passes events to `Gateway::handle` in the order in which they happen, and carries out the
+// actions that the call appends. All times are microseconds of one monotonic clock, whose origin is
+// arbitrary.
+//
+// A host is an endpoint of the service behind the gateway. Peers are the other gateways of the fleet. Units
+// measure what a request costs.
 #pragma once
 
 #include <chrono>
@@ -18,140 +21,169 @@
 using Micros = std::chrono::microseconds;
 using RequestId = std::uint64_t;
 
-// ---- settings, given once at start ----------------------------------------------------------------------
+// Settings, passed once to the constructor of `Gateway`.
 
 // Whether a request may be executed twice without harm.
 enum class Idempotency {
-    idempotent,      // a second execution does no harm
-    with_key,        // hosts drop a second execution by its idempotency key, within limits
-    not_idempotent,  // a second execution does harm
+    // A second execution does no harm.
+    idempotent,
+    // Hosts detect a second execution by its idempotency key, within the deduplication scope and window.
+    with_key,
+    // A second execution does harm.
+    not_idempotent,
 };
-// The hosts that share their memory of idempotency keys.
+// The set of hosts that share their store of idempotency keys: all hosts, or those of one zone or cell.
 enum class DeduplicationScope { all, zone, cell };
-// When hosts report their load.
+// When hosts report their load: never, with each answer, or in reply to a health check.
 enum class LoadReports { none, in_answers, on_probe };
 
-// What all requests of one class have in common.
+// Properties common to all requests of one class.
 struct RequestClass {
     std::string name;
     Idempotency idempotency = Idempotency::idempotent;
-    DeduplicationScope deduplication_scope = DeduplicationScope::all;  // for `with_key`
-    Micros latency_objective{0};     // an answer within this time earns the full weight; above 0
-    Micros deadline{0};              // the longest time that a client waits; above 0
-    Micros deduplication_window{0};  // for `with_key`: how long hosts remember a key
+    // Used only for `with_key`.
+    DeduplicationScope deduplication_scope = DeduplicationScope::all;
+    // An answer within this time earns the full weight. Must be above 0.
+    Micros latency_objective{0};
+    // The longest time that a client waits for its answer. Must be above 0.
+    Micros deadline{0};
+    // Used only for `with_key`: how long hosts store an idempotency key.
+    Micros deduplication_window{0};
     double priority_weight = 1;
-    double late_weight_share = 0;  // share of the weight earned after the latency objective
+    // Share of the weight that an answer after the latency objective earns.
+    double late_weight_share = 0;
 };
 
-// The limits of one customer, by contract.
+// The contract limits of a customer.
 struct Plan {
     std::string name;
-    double rate = 0;          // quota in units a second; 0: no rate quota
-    double burst = 0;         // units that the quota's token bucket holds
-    int max_concurrency = 0;  // attempts in flight at once; 0: no such limit
+    double rate = 0;          // quota in units per second; 0: no rate quota
+    double burst = 0;         // capacity in units of the quota's token bucket
+    int max_concurrency = 0;  // maximum number of attempts in flight; 0: no concurrency limit
     double weight_factor = 1;
     double excess_weight_share = 0;  // share of the weight that a request beyond the quota earns
     double excess_cost_share = 0;    // share of the weight that admitting a request beyond the quota costs
-    double ceiling_rate = 0;         // hard limit in units a second; 0: no ceiling
-    double ceiling_burst = 0;        // units that the ceiling's token bucket holds
+    double ceiling_rate = 0;         // hard rate limit in units per second; 0: no ceiling
+    double ceiling_burst = 0;        // capacity in units of the ceiling's token bucket
 };
 
 struct Settings {
-    int rank = 0;       // of this gateway, from 0 to `instances` - 1
-    int instances = 1;  // gateways in the fleet
-    std::string zone;   // of this gateway
+    int rank = 0;       // number of this gateway in the fleet, from 0 to `instances` - 1
+    int instances = 1;  // number of gateways in the fleet
+    std::string zone;   // zone of this gateway
     std::vector<RequestClass> classes;
     std::vector<Plan> plans;
 
-    // What the gateway may do.
-    int max_attempts = 1;               // for one request, the first included
-    bool may_hedge = false;             // send a second attempt while the first is in flight
-    bool may_cancel = false;            // cancel an attempt in flight
-    bool may_check_health = false;      // send health checks to hosts
-    bool may_message_peers = false;     // send messages to other gateways
-    bool may_send_retry_after = false;  // tell rejected clients when to come again
+    // Actions that the gateway is allowed to take.
+
+    // Maximum number of attempts for one request, including the first.
+    int max_attempts = 1;
+    // Whether a second attempt may be sent while the first is in flight.
+    bool may_hedge = false;
+    // Whether an attempt in flight may be cancelled.
+    bool may_cancel = false;
+    // Whether health checks may be sent to hosts.
+    bool may_check_health = false;
+    // Whether messages may be sent to other gateways.
+    bool may_message_peers = false;
+    // Whether rejections carry the time after which the client should retry.
+    bool may_send_retry_after = false;
+    // Longest retry time for rejected clients. The decision module does not apply it.
     Micros max_retry_after{0};
-    double messages_per_s = 0;         // messages from peers that one gateway takes in
-    bool units_settled_later = false;  // answers tell the units that a request really took
-    double max_units = 0;              // of one request; 0: unknown
+    // Rate of peer messages, per second, that one gateway can receive.
+    double messages_per_s = 0;
+    // Whether answers report the units that a request actually used.
+    bool units_settled_later = false;
+    // Maximum units of one request; 0: unknown.
+    double max_units = 0;
     LoadReports reports = LoadReports::none;
 
-    // Figures of the environment.
-    Micros tick{0};                  // resolution of the timers
-    Micros connect_timeout{0};       // an attempt whose connection is not up by then ends unsent
-    Micros slow_start_time{0};       // from a host's start until it has its full capacity
-    Micros overload_time{0};         // over which the load of a warming host is summed up
-    double overload_multiple = 1;    // of its capacity, beyond which a warming host fails
-    double slow_start_capacity = 1;  // share of its full capacity that a host has at its start
+    // Properties of the environment.
 
-    double cross_zone_cost = 0;  // of a request sent to another zone, as a share of its weight
+    // Resolution of the timers.
+    Micros tick{0};
+    // An attempt whose connection is not established within this time ends unsent.
+    Micros connect_timeout{0};
+    // Time from a host's start until it has its full capacity.
+    Micros slow_start_time{0};
+    // Time window over which the load of a warming host is summed.
+    Micros overload_time{0};
+    // A warming host fails when its load exceeds this multiple of its capacity.
+    double overload_multiple = 1;
+    // Share of its full capacity that a host has at its start.
+    double slow_start_capacity = 1;
+
+    // Cost of sending a request to another zone, as a share of the request's weight.
+    double cross_zone_cost = 0;
 };
 
-// ---- events ---------------------------------------------------------------------------------------------
+// Events, the input of `Gateway::handle`.
 
 enum class HostState { up, draining, gone };
 
+// One host of the endpoint list.
 struct HostEntry {
-    std::string host;  // its unique name
+    std::string host;  // unique name of the host
     std::string zone;
     std::string kind;
     std::int64_t cell = 0;
     HostState state = HostState::up;
     double weight = 1;  // relative capacity
-    Micros started{0};  // clock time of the latest start; 0: long ago
+    Micros started{0};  // clock time of the latest start; 0: the host has been running for a long time
 };
 
-// A host's own report of its load. Values below 0 were not reported.
+// A load report that a host sent. Values below 0 were not reported.
 struct LoadReport {
-    double queued = -1;       // requests waiting
-    double outstanding = -1;  // requests in the host's hands
-    double utilization = -1;  // busy share of its cores
+    double queued = -1;       // number of requests that wait at the host
+    double outstanding = -1;  // number of requests that the host has accepted and not answered yet
+    double utilization = -1;  // share of its cores that is busy
 };
 
 // How an attempt or a health check ended.
 enum class Outcome {
     success,
     error,           // the host answered that it failed
-    rejected,        // the host answered that it is overloaded; nothing was executed
+    rejected,        // the host answered that it is overloaded; the attempt was not executed
     timeout,         // no answer within the attempt's timeout
-    connect_failed,  // no connection came up; nothing was executed
+    connect_failed,  // no connection was established; the attempt was not executed
     reset,           // the connection broke before the whole answer
-    cancelled,       // by this gateway
-    not_sent,        // nothing left this gateway
+    cancelled,       // this gateway cancelled the attempt
+    not_sent,        // no byte of the attempt was sent
 };
 
 // A change of the endpoint list.
 struct HostsChanged {
-    bool complete_list = false;  // false: only the entries that changed
+    bool complete_list = false;  // false: `entries` holds only the entries that changed
     std::vector<HostEntry> entries;
 };
-// Operators take a host out or put it back. Independent of the endpoint list: no list lifts a ban.
+// An operator banned a host or lifted the ban. Bans are independent of the endpoint list: an update of the
+// list never lifts a ban.
 struct HostBanned {
     std::string host;
     bool banned = true;
 };
 struct RequestArrived {
-    RequestId id = 0;  // unique among the requests in hand
+    RequestId id = 0;  // unique among the requests that are not completed
     std::string customer;
     int plan = 0;           // index into Settings::plans; below 0: unknown, no quota
     int request_class = 0;  // index into Settings::classes
     double units = 1;
-    Micros time_left{0};  // until the client gives up
-    int set_size = 1;     // gateways through which this customer's requests arrive
-    int set_start = 0;    // rank of the first of them; the others follow, modulo the fleet's size
+    Micros time_left{0};  // time until the client gives up
+    int set_size = 1;     // number of gateways through which this customer's requests arrive
+    int set_start = 0;  // rank of the first such gateway; the ranks are consecutive, modulo the fleet's size
 };
 struct AttemptEnded {
     RequestId id = 0;
-    int attempt = 0;  // counted from 0
+    int attempt = 0;  // number of the attempt, counted from 0
     std::string host;
     Outcome outcome = Outcome::success;
-    Micros elapsed{0};               // since the attempt was sent
-    bool request_completed = false;  // the request has its final answer
-    double actual_units = 0;         // that the request really took; 0: unknown
+    Micros elapsed{0};               // time since the attempt was sent
+    bool request_completed = false;  // whether the request has its final answer
+    double actual_units = 0;         // units that the request actually used; 0: unknown
     LoadReport report;
 };
-// A streamed answer has begun to go to the client, which completes the request. The attempt stays in flight
-// until the answer ends.
+// The first part of a streamed answer was sent to the client, which completes the request. The attempt stays
+// in flight until the answer ends.
 struct ResponseStarted {
     RequestId id = 0;
     std::string host;
@@ -171,15 +203,16 @@
     std::string bytes;
 };
 struct TimerFired {
-    std::uint64_t token = 0;  // of the SetTimer
+    std::uint64_t token = 0;  // token of the SetTimer action
 };
-// An upgrade. `away`: another process takes over; answered by SaveSnapshot, and from then on this one admits
-// nothing. Otherwise the other process has ended, and this one takes its quotas back.
+// An upgrade changed which process decides. If `away`, another process takes over: the gateway answers with
+// SaveSnapshot and admits no further request. Otherwise the other process has ended, and this process admits
+// requests again and takes its quotas back.
 struct HandedOver {
     bool away = true;
 };
-// The snapshot that the process before this one has saved. One of another version is ignored; of one that is
-// cut short, what can be read is used.
+// The snapshot that the predecessor process saved. A snapshot of another version is ignored. Of a truncated
+// snapshot, the readable part is restored.
 struct RestoreSnapshot {
     std::string bytes;
 };
@@ -188,7 +221,7 @@
     std::variant<HostsChanged, HostBanned, RequestArrived, AttemptEnded, ResponseStarted, HealthCheckEnded,
                  ClientDisconnected, MessageArrived, TimerFired, HandedOver, RestoreSnapshot>;
 
-// ---- actions --------------------------------------------------------------------------------------------
+// Actions, the output of `Gateway::handle`.
 
 enum class AttemptReason { first, retry, hedge };
 
@@ -196,19 +229,19 @@
 enum class RejectionReason {
     expired_on_arrival,
     handed_over,             // another process takes over
-    over_quota,              // beyond the rate quota or the ceiling
-    over_concurrency_limit,  // a concurrency permit would come too late
-    warm_up_limit,           // the warm-up limiter would release it too late
-    queue_full,              // more requests wait for a host than hosts could soon take
-    no_host_available,       // no host had capacity until the latest start
-    no_lease_in_time,        // no quota lease came until the latest start
+    over_quota,              // the request exceeds the rate quota or the ceiling
+    over_concurrency_limit,  // a concurrency permit would be free too late
+    warm_up_limit,           // the warm-up limiter would release the request too late
+    queue_full,              // the request queue is longer than hosts could serve in time
+    no_host_available,       // no host had capacity before the latest start
+    no_lease_in_time,        // no quota lease was granted before the latest start
     retry_not_allowed,  // an attempt failed; idempotency, deduplication or the attempt limit forbid a retry
     retry_budget_exhausted,  // an attempt failed, and the retry budget is spent
-    too_late_to_retry,       // an attempt failed, and a retry could not be in time
-    deadline_exceeded,       // the client's time is over
+    too_late_to_retry,       // an attempt failed, and a retry could not be answered in time
+    deadline_exceeded,       // the client's deadline has passed
 };
 
-// The names of the values, as logs and metrics show them.
+// The names of the enumerators, as they appear in logs and metrics.
 [[nodiscard]] const char* to_string(AttemptReason reason);
 [[nodiscard]] const char* to_string(RejectionReason reason);
 [[nodiscard]] const char* to_string(Outcome outcome);
@@ -216,13 +249,13 @@
 struct SendAttempt {
     RequestId id;
     std::string host;
-    Micros timeout;  // after which the attempt ends as Outcome::timeout; above 0
+    Micros timeout;  // time after which the attempt ends as Outcome::timeout; above 0
     AttemptReason reason = AttemptReason::first;
 };
 // Completes the request with the promise that it was not executed, or that executing it again is harmless.
 struct RejectRequest {
     RequestId id;
-    Micros retry_after;  // 0: no advice
+    Micros retry_after;  // time after which the client should retry; 0: no Retry-After
     RejectionReason reason = RejectionReason::deadline_exceeded;
 };
 // Completes the request without any promise.
@@ -234,20 +267,20 @@
     RequestId id;
     int attempt;
 };
-// Sends a health check, answered by HealthCheckEnded.
+// Sends a health check. HealthCheckEnded reports its result.
 struct CheckHealth {
     std::string host;
 };
-// Answered by TimerFired with the token. Timers are not cancelled.
+// Starts a timer. TimerFired reports its expiry with the same token. Timers cannot be cancelled.
 struct SetTimer {
     Micros from_now;
     std::uint64_t token;
 };
 struct SendMessage {
-    int to;  // rank of a peer; below 0: every peer
+    int to;  // rank of the peer; below 0: every peer
     std::string bytes;
 };
-// The state that the next process restores.
+// Passes the state of this gateway to the successor process, which restores it.
 struct SaveSnapshot {
     std::string bytes;
 };
@@ -255,18 +288,17 @@
 using Action = std::variant<SendAttempt, RejectRequest, FailRequest, CancelAttempt, CheckHealth, SetTimer,
                             SendMessage, SaveSnapshot>;
 
-// ---- the module -----------------------------------------------------------------------------------------
-
 // The decisions of one gateway. Deterministic: equal settings, seed and events give equal actions.
 class Gateway {
   public:
-    // Throws std::invalid_argument where the settings cannot work; its message names the setting.
+    // Throws std::invalid_argument if the settings are invalid; its message names the setting.
     Gateway(Settings settings, std::uint64_t seed, Micros now);
     ~Gateway();
     Gateway(Gateway&&) noexcept;
     Gateway& operator=(Gateway&&) noexcept;
 
-    // Decides on one event at clock time `now`; appends what is to be done, in order.
+    // Handles one event at clock time `now` and appends the resulting actions in the order of their
+    // execution.
     void handle(Micros now, const Event& event, std::vector<Action>& actions);
 
   private:
--- a/include/gateway/request_rules.h
+++ b/include/gateway/request_rules.h
@@ -1,7 +1,7 @@
-// Whether a request may be sent, retried, hedged or rejected now.
+// The rules on whether a request may be sent, retried, hedged or rejected.
 //
-// The decision module asks here, and the server asks again before it carries a decision out, with a history
-// of its own (rule_guard.h).
+// The decision module applies them when it decides. The server applies them again, with a history of its own,
+// before it carries out a decision (rule_guard.h).
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace gateway::decision {
 
-// Where a host stands: hosts share their memory of idempotency keys by zone or cell.
+// The zone and cell of a host. Hosts of one zone or cell may share their store of idempotency keys.
 struct HostPlace {
     std::string_view zone;
     std::int64_t cell = 0;
@@ -25,21 +25,21 @@
     struct Attempt {
         int number = 0;
         Micros sent{0};
-        std::string zone;  // of its host
+        std::string zone;  // zone of the attempt's host
         std::int64_t cell = 0;
         bool in_flight = true;
-        bool not_executed = false;  // as its outcome proves
+        bool not_executed = false;  // whether the outcome proves that the host did not execute the attempt
     };
 
     void begin_attempt(int number, const HostPlace& place, Micros now) {
         attempts_.push_back({number, now, std::string(place.zone), place.cell});
     }
-    // No effect for an attempt that has ended or never begun.
+    // Has no effect on an attempt that has already ended or was never begun.
     void end_attempt(int number, Outcome outcome);
     [[nodiscard]] const std::vector<Attempt>& attempts() const { return attempts_; }
     [[nodiscard]] int count() const { return static_cast<int>(attempts_.size()); }
     [[nodiscard]] int in_flight() const;
-    // Whether any attempt may have been executed; one in flight may have been.
+    // Whether any attempt may have been executed. An attempt in flight counts as possibly executed.
     [[nodiscard]] bool may_have_run() const;
 
   private:
@@ -51,24 +51,32 @@
 
 enum class SendVerdict {
     allowed,
-    attempts_exhausted,           // as many attempts as the settings allow
-    may_have_run,                 // a request that is not idempotent may have been executed
-    outside_deduplication_scope,  // the host does not share the memory of keys with an earlier attempt's host
-    outside_deduplication_window,  // the host may have forgotten the key of an earlier attempt
-    hedge_not_allowed,             // the settings allow no two attempts at once
-    already_completed,             // the request has its final answer, or its client has disconnected
-    expired,                       // the client's time is over
-    host_draining,                 // the host drains, is gone or was banned
+    // The request has had the maximum number of attempts that the settings allow.
+    attempts_exhausted,
+    // The request is not idempotent, and an earlier attempt may have been executed.
+    may_have_run,
+    // The host does not share its store of idempotency keys with an earlier attempt's host.
+    outside_deduplication_scope,
+    // The idempotency key of an earlier attempt may have expired at the host.
+    outside_deduplication_window,
+    // An attempt is in flight, and the settings forbid a second one at the same time.
+    hedge_not_allowed,
+    // The request has its final answer, or its client has disconnected.
+    already_completed,
+    // The client's deadline has passed.
+    expired,
+    // The host is draining, gone, banned or unknown.
+    host_draining,
 };
 constexpr std::size_t send_verdict_count = 9;
 [[nodiscard]] const char* to_string(SendVerdict verdict);
 
 class RequestRules {
   public:
-    // The settings must outlive the rules.
+    // `settings` must outlive this object.
     explicit RequestRules(const Settings& settings) : settings_(settings) {}
 
-    // Whether an attempt at a host in that place may begin now.
+    // Whether an attempt at a host in the given zone and cell may begin now.
     [[nodiscard]] SendVerdict check_send(const RequestClass& request_class, const RequestHistory& history,
                                          const HostPlace& place, Micros now) const;
     // Whether a rejection may promise that executing the request again is harmless.
--- a/include/gateway/rule_guard.h
+++ b/include/gateway/rule_guard.h
@@ -1,7 +1,8 @@
 // A run-time check of the rules on requests, independent of the decisions that it checks.
 //
-// The server reports what happens on its sockets and asks before it sends or rejects. What the guard does not
-// allow is not done, and counted: each violation is a fault of this program.
+// The server reports the events on its sockets to the guard, and checks with the guard before it sends an
+// attempt or rejects a request. The server does not carry out an action that the guard forbids. The guard
+// counts it as a violation: each violation is a defect of this program.
 #pragma once
 
 #include <array>
@@ -18,12 +19,16 @@
 class RuleGuard {
   public:
     struct Violations {
-        std::array<std::uint64_t, send_verdict_count> sends{};  // that were not allowed, by SendVerdict
-        std::uint64_t rejections = 0;    // rejections of requests that may have been executed
-        std::uint64_t late_answers = 0;  // half a second after the client's deadline, or later
-        std::uint64_t unanswered = 0;    // requests in hand whose connection was closed by this side
-        // The violations that are faults of this program. A decision may cross the end of its request: a send
-        // for one that is completed or expired is held back in good order, and does not count.
+        // Sends that were not allowed, indexed by SendVerdict.
+        std::array<std::uint64_t, send_verdict_count> sends{};
+        // Rejections of requests that may have been executed.
+        std::uint64_t rejections = 0;
+        // Answers sent half a second or more after the client's deadline.
+        std::uint64_t late_answers = 0;
+        // Requests without an answer whose connection the gateway closed.
+        std::uint64_t unanswered = 0;
+        // The number of violations that are defects of this program. Sends for a completed or expired request
+        // are blocked but not counted here: a request can end while the decision to send it is on its way.
         [[nodiscard]] std::uint64_t total() const;
     };
 
@@ -33,19 +38,20 @@
 
     void hosts_changed(const HostsChanged& change);
     void host_banned(const HostBanned& ban);
-    // `deadline`: when its client gives up.
+    // `deadline` is the time at which the client gives up.
     void request_arrived(RequestId id, int request_class, Micros deadline);
-    // Whether the request's next attempt may begin at that host now; where it may, it counts as begun.
+    // Whether the request's next attempt may begin at the host now. If allowed, the attempt is recorded as
+    // begun.
     SendVerdict begin_attempt(RequestId id, int number, const std::string& host, Micros now);
     void attempt_ended(RequestId id, int attempt, Outcome outcome);
-    // Whether the request may be rejected; counts a violation where it may not.
+    // Whether the request may be rejected. Counts a violation if not.
     bool may_reject(RequestId id);
-    // The request has its final answer.
+    // The server has sent the request's final answer.
     void answered(RequestId id, Micros now);
     void client_disconnected(RequestId id);
-    // The request's connection is closed by this side before it has an answer.
+    // The gateway has closed the request's connection before answering it.
     void closed_unanswered() { ++violations_.unanswered; }
-    // Nothing more is asked about the request.
+    // Drops the history of a request that needs no further checks.
     void forget(RequestId id) { requests_.erase(id); }
     [[nodiscard]] const Violations& violations() const { return violations_; }
 
@@ -53,7 +59,7 @@
     struct ListedHost {
         std::string zone;
         std::int64_t cell = 0;
-        bool draining = true;  // also where only a ban has named the host
+        bool draining = true;  // also true for a host that is known only from a ban
         bool banned = false;
     };
     struct TrackedRequest {
--- a/src/decision/interface.cpp
+++ b/src/decision/interface.cpp
@@ -1,4 +1,4 @@
-// The names of the enumerators of interface.h, as logs and metrics show them.
+// Names of the enumerators of interface.h, as they appear in logs and metrics.
 #include "gateway/interface.h"
 
 namespace gateway::decision {
