--- a/src/decision/concurrency_permits.cpp
+++ b/src/decision/concurrency_permits.cpp
@@ -9,8 +9,10 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr Micros permit_lifetime = 1s;    // of a permit that is lent
-constexpr Micros renewal_period = 250ms;  // after which it is requested anew
+// A lent permit expires after this time.
+constexpr Micros permit_lifetime = 1s;
+// A gateway renews its permits when this time has passed since its latest request.
+constexpr Micros renewal_period = 250ms;
 }  // namespace
 
 int ConcurrencyPermits::holder(const Customer& customer) const {
@@ -25,7 +27,8 @@
     return to == settings.rank || !messenger_.is_silent(to);
 }
 
-// A fraction of a permit is none, but for the first: rounded up, the shares of a set would exceed the limit.
+// Rounds the share down, because shares rounded up would exceed the limit in total. Each gateway has at least
+// one permit.
 double ConcurrencyPermits::permits(const Customer& customer) const {
     if (borrows(customer)) {
         const PermitState& state = customer.permits;
@@ -52,13 +55,13 @@
     if (!plan || plan->max_concurrency <= 0) return std::nullopt;
     if (context_.handed_over() || !borrows(customer)) return std::nullopt;
     PermitState& state = customer.permits;
-    const int of_use = state.in_flight + state.admitted + static_cast<int>(state.waiting.size());
-    const int wanted = std::min(plan->max_concurrency, of_use);
+    const int needed = state.in_flight + state.admitted + static_cast<int>(state.waiting.size());
+    const int wanted = std::min(plan->max_concurrency, needed);
     if (wanted == state.wanted && !renew) return std::nullopt;
     state.wanted = wanted;
     state.granted = std::min(state.granted, wanted);
     state.requested_at = context_.now();
-    // A queue of long ago would turn the next request away.
+    // An outdated queue length would reject the next request.
     if (wanted == 0) state.queue_length = 0;
     state.nonce = context_.next_nonce();
     const PermitRequest request{state.nonce,       customer.hash,      customer.plan,
@@ -85,7 +88,7 @@
     customer.permits.queue_length = 0;
 }
 
-// Nonces rise modulo 2^32.
+// Nonces increase modulo 2^32, so the sign of the difference tells which of two requests is older.
 bool ConcurrencyPermits::is_superseded(const PermitRequest& request, const PermitHolder& holder) {
     return static_cast<std::int32_t>(request.nonce - holder.nonce) < 0;
 }
@@ -114,20 +117,20 @@
         free -= holder.granted;
         queue_length += holder.wanted - holder.granted;
     }
-    std::optional<PermitGrant> own;
+    std::optional<PermitGrant> own_grant;
     for (PermitHolder& holder : holders) {
-        const bool gets_one = free > 0 && holder.granted < holder.wanted;
-        if (gets_one) {
+        const bool receives_permit = free > 0 && holder.granted < holder.wanted;
+        if (receives_permit) {
             ++holder.granted;
             --free;
             --queue_length;
         }
-        if (holder.wanted == 0 || !(gets_one || holder.rank == from)) continue;
+        if (holder.wanted == 0 || !(receives_permit || holder.rank == from)) continue;
         const PermitGrant grant{holder.nonce, request.customer, holder.granted, queue_length};
-        if (holder.rank == context_.settings().rank) own = grant;
+        if (holder.rank == context_.settings().rank) own_grant = grant;
         else messenger_.post(holder.rank, grant, true);
     }
-    return own;
+    return own_grant;
 }
 
 bool ConcurrencyPermits::accept(Customer& customer, const PermitGrant& grant, int from) {
--- a/src/decision/concurrency_permits.h
+++ b/src/decision/concurrency_permits.h
@@ -1,4 +1,4 @@
-// The limit on a customer's attempts in flight, shared by the gateways of its set.
+// The concurrency limit of a customer, shared by the gateways through which the customer's requests arrive.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +12,8 @@
 
 namespace gateway::decision {
 
-// Each gateway has a share of the limit by its share of the demand. Where an even share would be less than
-// half a permit, the lease holder lends permits instead.
+// Each gateway's share of the limit follows its share of the customer's demand. If an even share would be
+// less than half a permit, the lease holder lends permits instead.
 class ConcurrencyPermits {
   public:
     ConcurrencyPermits(Context& context, QuotaLedger& ledger, const QuotaLeases& leases,
@@ -22,24 +22,28 @@
 
     // Whether one more request of the customer may be admitted.
     [[nodiscard]] bool available(const Customer& customer) const;
-    // Whether permits are lent by the lease holder. Guards against attempts beyond the limit; costs the way
-    // there, which is more than it saves in smaller sets.
+    // Whether this gateway borrows permits from the lease holder. Borrowing prevents attempts beyond the
+    // limit, but adds a round trip to the lease holder. In smaller sets of gateways the round trip costs more
+    // than borrowing saves.
     [[nodiscard]] bool borrows(const Customer& customer) const;
-    // How long a request that joins the customer's queue now waits, at `response_s` seconds an answer.
+    // Expected wait of a request that joins the customer's queue now, if each answer takes `response_s`
+    // seconds.
     [[nodiscard]] Micros expected_wait(const Customer& customer, double response_s) const;
 
-    // Tells the lease holder how many permits are of use here, once that has changed or (`renew`) what is
-    // granted runs out. Where this gateway is the holder: its own new grant, to be accepted next.
+    // Requests the permits that this gateway needs from the lease holder, if their number has changed or if
+    // `renew` is set because the granted permits are about to expire. If this gateway is the lease holder,
+    // returns its own new grant, which the caller passes to `accept`.
     std::optional<PermitGrant> request(Customer& customer, bool renew);
-    // The customer's renewal timer has fired: whether its permits are to be renewed now. Counts a holder that
-    // has not answered.
+    // Handles the customer's renewal timer: returns whether its permits have to be renewed now. Records the
+    // lease holder as unanswering if it has not answered the latest request.
     [[nodiscard]] bool renewal_due(const Customer& customer);
-    // Forgets what was requested, because the holder is silent and the even share counts.
+    // Clears the latest request, because the lease holder is silent and the even share applies.
     static void reset(Customer& customer);
-    // The holder's side: lends free permits one each in turn, to who has waited longest first. A gateway that
-    // is not heard of loses its permits. Returns the own grant, where there is one.
+    // Handles a permit request as the lease holder: lends free permits one at a time, first to the gateway
+    // that has waited longest. A gateway that does not renew its permits loses them. Returns the grant for
+    // this gateway itself, if there is one.
     std::optional<PermitGrant> lend(const PermitRequest& request, int from);
-    // Takes a grant for the customer; false where it answers no request of this gateway.
+    // Applies a grant to the customer. Returns false if it does not answer this gateway's latest request.
     [[nodiscard]] bool accept(Customer& customer, const PermitGrant& grant, int from);
 
   private:
--- a/src/decision/context.cpp
+++ b/src/decision/context.cpp
@@ -10,7 +10,8 @@
 
 constexpr std::uint64_t timer_kind_count = 10;
 constexpr Micros heartbeat_interval = 100ms;
-constexpr Micros stall_threshold = 300ms;  // a heartbeat later than this tells of a stall
+// The process was stalled if no heartbeat occurred for longer than this time.
+constexpr Micros stall_threshold = 300ms;
 
 void require(bool holds, const char* what) {
     if (!holds) throw std::invalid_argument(what);
@@ -18,14 +19,14 @@
 
 void validate(const Settings& settings) {
     require(settings.rank >= 0 && settings.rank < settings.instances,
-            "settings: rank must lie within instances");
-    require(settings.max_attempts >= 1, "settings: max_attempts must be 1 at least");
+            "settings: rank must be from 0 to instances - 1");
+    require(settings.max_attempts >= 1, "settings: max_attempts must be at least 1");
     for (const Plan& plan : settings.plans)
         require(std::min({plan.rate, plan.burst, plan.ceiling_rate, plan.ceiling_burst}) >= 0,
-                "settings: plan figures below 0");
+                "settings: rate, burst, ceiling_rate and ceiling_burst of a plan must not be negative");
     for (const RequestClass& request_class : settings.classes)
         require(request_class.deadline > 0us && request_class.latency_objective > 0us,
-                "settings: a class needs a latency objective and a deadline above 0");
+                "settings: latency_objective and deadline of a request class must be above 0");
 }
 }  // namespace
 
--- a/src/decision/context.h
+++ b/src/decision/context.h
@@ -1,5 +1,5 @@
-// What all decision modules share: the time of the event in hand, settings, random numbers, and the list of
-// actions to which each module appends what is to be done.
+// The state that all decision modules share: the time of the current event, settings, random numbers, and the
+// list to which each module appends its actions.
 #pragma once
 
 #include <cstdint>
@@ -12,68 +12,72 @@
 
 using Actions = std::vector<Action>;
 
-// What a timer is for. The values are part of the timers' tokens, which recorded days hold: their order
-// stays.
+// The purpose of a timer. The numeric values are part of the timer tokens, which recorded event sequences
+// contain, so the order of the enumerators must not change. In brackets: the subject of the timer's token.
 enum class TimerKind {
-    deadline,             // of a request: the client's time is over
-    release,              // of a request: the warm-up limiter lets it go
-    silence_check,        // of a request: its attempt should have been answered
-    expiry,               // of a request: it waits for a host, a lease or a permit
-    lease_request,        // of a lease request: its answer is due
-    health_check,         // of a request: the health checks that it waits for are due
-    flush,                // of a peer: its outbox goes
-    heartbeat,            // of this gateway
-    permit_renewal,       // of a customer: concurrency permits run out
-    inherited_in_flight,  // of an upgrade: attempts of the former process count as ended
+    deadline,             // the client's deadline has passed (request)
+    release,              // the warm-up limiter releases the request (request)
+    silence_check,        // the answer to an attempt is overdue (request)
+    expiry,               // a request that waits for a host, a lease or a permit is checked again (request)
+    lease_request,        // the answer to a lease request is overdue (nonce of the lease request)
+    health_check,         // the results of health checks are overdue (request)
+    flush,                // the outbox of a peer is sent (rank of the peer)
+    heartbeat,            // the periodic heartbeat of this gateway (none)
+    permit_renewal,       // concurrency permits have to be renewed (hash of the customer's name)
+    inherited_in_flight,  // attempts of the predecessor process count as ended (none)
 };
 
-// Shared by reference; lives as long as the modules. Not copyable.
+// Shared by reference between the modules, which it must outlive.
 class Context {
   public:
-    // Throws std::invalid_argument where the settings cannot work; its message names the setting.
+    // Throws std::invalid_argument if the settings are invalid; its message names the setting.
     Context(Settings settings, std::uint64_t seed, Micros now);
     Context(const Context&) = delete;
     Context& operator=(const Context&) = delete;
 
-    // Begins an event at clock time `now`; `actions` receives what the modules emit until the next event.
+    // Begins an event at clock time `now`. Until the next event, the modules append their actions to
+    // `actions`.
     void begin_event(Micros now, Actions& actions);
 
     [[nodiscard]] const Settings& settings() const noexcept { return settings_; }
     [[nodiscard]] Micros now() const noexcept { return now_; }
     [[nodiscard]] Micros since(Micros earlier) const noexcept { return now_ - earlier; }
 
-    // Time from which quotas refill from their start values: the start of this process, or of the one that it
-    // has taken over from.
+    // The time from which quotas refill, beginning at their start values: the start of this process, or of
+    // the predecessor process that it took over from.
     [[nodiscard]] Micros started_at() const noexcept { return started_at_; }
     void restart_at(Micros time) noexcept { started_at_ = time; }
 
-    // Whether another process has taken over, so that this one admits nothing.
+    // Whether another process has taken over, so that this process admits no request.
     [[nodiscard]] bool handed_over() const noexcept { return handed_over_; }
     void set_handed_over(bool handed_over) noexcept { handed_over_ = handed_over; }
 
-    // 64 random bits. Each draw counts: the order of draws decides on all later ones.
+    // 64 random bits. Each call advances the generator, so the order of calls determines all later values.
     [[nodiscard]] std::uint64_t random_bits() { return random_(); }
     // Uniform in [0, 1).
     [[nodiscard]] double uniform() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
-    // Odd, never 0, rising by 2 (modulo 2^32): tells a request to a peer from earlier ones.
+    // A number that distinguishes a request to a peer from earlier ones. Odd, never 0, and increasing by 2
+    // (modulo 2^32).
     [[nodiscard]] std::uint32_t next_nonce() noexcept;
 
     template <class Emitted>
     void emit(Emitted action) {
         actions_->emplace_back(std::move(action));
     }
-    // Asks for TimerFired after `wait`, 1 us at least. `subject`: what the timer is about, by its kind.
+    // Starts a timer that fires after `wait`, but at least 1 us. The timer's kind defines the meaning of
+    // `subject`.
     void set_timer(Micros wait, std::uint64_t subject, TimerKind kind);
 
-    // Whether this process has been held up lately. In the backlog found then, waiting looks like the silence
-    // of others and answers look slow, so nothing is judged by it.
+    // Whether this process was stalled until the current event. After a stall, queued events make hosts and
+    // peers look silent and answers look slow, so the caller must not judge hosts or peers by them.
     [[nodiscard]] bool stalled() const noexcept;
-    // The heartbeat timer has fired, or the first event has come: sets the next one.
+    // Records a heartbeat and sets the next heartbeat timer. Called for the first event and when the timer
+    // fires.
     void heartbeat();
     [[nodiscard]] bool heartbeat_started() const noexcept { return last_heartbeat_ != Micros{0}; }
     [[nodiscard]] static Micros heartbeat_period() noexcept;
 
-    // The snapshot's parts, in the codec's direction.
+    // Save or restore parts of the snapshot, depending on the codec.
     void serialize_nonce(auto& codec) { codec(next_nonce_); }
     void serialize_start(auto& codec) { codec(started_at_); }
 
@@ -83,13 +87,13 @@
     Micros started_at_;
     Micros now_{0};
     Micros last_heartbeat_{0};
-    Micros stall_ended_at_{0};  // the event in which a stall was noticed
+    Micros stall_ended_at_{0};  // time of the latest event that detected a stall
     std::uint32_t next_nonce_ = 1;
     bool handed_over_ = false;
     Actions* actions_ = nullptr;
 };
 
-// A timer's token to its kind and subject, as `Context::set_timer` was given them.
+// Kind and subject of a timer, as passed to `Context::set_timer`.
 struct TimerToken {
     TimerKind kind;
     std::uint64_t subject;
--- a/src/decision/customer.h
+++ b/src/decision/customer.h
@@ -1,4 +1,5 @@
-// One customer of this gateway, with the parts that QuotaLeases, ConcurrencyPermits and WarmUpLimiter keep.
+// The state of one customer at this gateway, which QuotaLeases, ConcurrencyPermits and WarmUpLimiter
+// maintain.
 #pragma once
 
 #include <cstdint>
@@ -10,45 +11,59 @@
 
 namespace gateway::decision {
 
-// A customer's quota as this gateway holds it. Written by QuotaLeases.
+// This gateway's part of a customer's quota. Written by QuotaLeases.
 struct QuotaState {
-    Micros refilled_at{0};            // when the ceiling's tokens were last refilled
-    double tokens = 0;                // units of the quota that this gateway may still forward
-    Micros even_slice_at{0};          // when the even slice next covers a unit, where no lease holder answers
-    DecayingCounter demand;           // units asked for here
-    double fleet_demand = 0;          // units a second asked for at all gateways, as the lease holder reports
-    Micros fleet_demand_at{0};        // when it reported that; 0: never
-    Micros exhausted_until{0};        // the lease holder has nothing until then
-    double exhausted_for_units = 0;   // for requests of this size or more
-    double ceiling_tokens = 0;        // of this gateway's own share of the ceiling
-    double ceiling_reserved = 0;      // of these, for requests admitted and not forwarded yet
-    std::uint32_t pending_nonce = 0;  // of the lease request in flight for a waiting request; 0: none
-    bool prefetching = false;         // a lease request for likely demand is in flight
-    int attempts = 0;                 // lease requests for the first waiting request
-    int overdue = 0;                  // lease requests that count as lost and are still tracked
-    std::vector<RequestId> waiting;   // requests that wait for a lease; a deque costs 600 bytes empty
+    // Time at which the tokens of the ceiling were last refilled.
+    Micros refilled_at{0};
+    // Units of the quota that this gateway may still forward.
+    double tokens = 0;
+    // Time at which the even slice next covers a request. Used if no lease holder answers.
+    Micros even_slice_at{0};
+    // Units of the requests that arrived at this gateway.
+    DecayingCounter demand;
+    // Demand at all gateways in units per second, as the lease holder reported it.
+    double fleet_demand = 0;
+    // Time at which the lease holder reported `fleet_demand`; 0: never.
+    Micros fleet_demand_at{0};
+    // Until this time, the lease holder grants nothing to requests of `exhausted_for_units` or more.
+    Micros exhausted_until{0};
+    double exhausted_for_units = 0;
+    // Units of the ceiling that this gateway's own share holds.
+    double ceiling_tokens = 0;
+    // The part of `ceiling_tokens` that is reserved for requests admitted and not forwarded yet.
+    double ceiling_reserved = 0;
+    // Nonce of the lease request in flight for a waiting request; 0: none.
+    std::uint32_t pending_nonce = 0;
+    // Whether a lease request for predicted demand is in flight.
+    bool prefetching = false;
+    // Number of lease requests sent for the first waiting request.
+    int attempts = 0;
+    // Number of lease requests that count as lost and are still tracked.
+    int overdue = 0;
+    // Requests that wait for a lease. A vector, because an empty std::deque takes 600 bytes.
+    std::vector<RequestId> waiting;
 };
 
 // A customer's attempts against its concurrency limit. Written by ConcurrencyPermits and the request flow.
 struct PermitState {
-    int in_flight = 0;               // attempts sent
-    int admitted = 0;                // requests admitted and not forwarded yet
-    int granted = 0;                 // permits lent by the lease holder
-    int wanted = 0;                  // permits of use here, as last requested
-    int queue_length = 0;            // permits that gateways of the set wait for
-    std::uint32_t nonce = 0;         // of the latest permit request
-    Micros requested_at{0};          // time of that request
-    Micros valid_until{0};           // end of what is granted
+    int in_flight = 0;               // number of attempts in flight
+    int admitted = 0;                // number of requests admitted and not forwarded yet
+    int granted = 0;                 // number of permits lent by the lease holder
+    int wanted = 0;                  // number of permits in the latest permit request
+    int queue_length = 0;            // number of permits that gateways of the set wait for
+    std::uint32_t nonce = 0;         // nonce of the latest permit request
+    Micros requested_at{0};          // time of the latest permit request
+    Micros valid_until{0};           // time at which the granted permits expire
     std::vector<RequestId> waiting;  // requests that wait for a permit
 };
 
 struct Customer {
-    std::uint32_t hash = 0;  // of the name
+    std::uint32_t hash = 0;  // hash of the customer's name
     int plan = -1;           // index into Settings::plans; below 0: unknown, no quota
-    int set_size = 1;        // gateways through which the customer's requests arrive
-    int set_start = 0;       // rank of the first of them
-    Micros last_used_at{0};
-    int requests = 0;  // in hand
+    int set_size = 1;        // number of gateways through which the customer's requests arrive
+    int set_start = 0;       // rank of the first such gateway
+    Micros last_used_at{0};  // time of the customer's latest request
+    int requests = 0;        // number of requests that are not completed
     QuotaState quota;
     PermitState permits;
     WarmUpLimiter limiter;
@@ -61,7 +76,7 @@
     }
 };
 
-// The customer's plan; null for an unknown one.
+// The customer's plan, or null if it is unknown.
 [[nodiscard]] inline const Plan* plan_of(const Settings& settings, const Customer& customer) {
     return customer.plan < 0 ? nullptr : &settings.plans[static_cast<std::size_t>(customer.plan)];
 }
--- a/src/decision/customer_table.cpp
+++ b/src/decision/customer_table.cpp
@@ -37,8 +37,8 @@
     if (created) {
         customer.hash = name_hash(request.customer);
         customer.plan = request.plan;
-        // The ceiling's share fills up from this process's start, from nothing, because the process before it
-        // may have spent it all.
+        // This gateway's share of the ceiling is empty at the start of the process and refills from then on,
+        // because the predecessor process may have spent all of it.
         customer.quota.refilled_at = context_.started_at();
     }
     customer.set_size = std::max(customer.set_size, std::clamp(request.set_size, 1, instances));
--- a/src/decision/customer_table.h
+++ b/src/decision/customer_table.h
@@ -9,22 +9,25 @@
 
 namespace gateway::decision {
 
-// Owns the customers. References stay valid until `expire_idle` drops the customer.
+// Owns the customers. References to a customer stay valid until `expire_idle` removes it.
 class CustomerTable {
   public:
     explicit CustomerTable(const Context& context);
 
-    // The request's customer, new or known, used now.
+    // The request's customer, which is created if it is unknown. Updates the time of the customer's latest
+    // use.
     Customer& find_or_create(const RequestArrived& request);
-    // Null where no customer has that name's hash.
+    // The customer whose name has this hash, or null.
     [[nodiscard]] Customer* find(std::uint32_t hash);
-    // Drops customers that have nothing in hand or in flight and were not used for `idle_timeout`.
+    // Removes customers that have no requests, attempts or lease requests and were not used for
+    // `idle_timeout`.
     void expire_idle();
-    // Longest time in which an empty quota refills: a customer unused for longer has all its tokens again, so
-    // that dropping it changes nothing. Guards against memory that grows with everybody who ever came.
+    // The longest time that an empty quota takes to refill. A customer that is idle for longer has a full
+    // quota, so removing it changes no decision. Removal keeps memory from growing with every customer ever
+    // seen.
     [[nodiscard]] Micros idle_timeout() const noexcept { return idle_timeout_; }
 
-    // The order is the hash table's: nothing that is emitted may depend on it.
+    // Iterates in the unspecified order of the hash table. No emitted action may depend on this order.
     [[nodiscard]] auto begin() { return customers_.begin(); }
     [[nodiscard]] auto end() { return customers_.end(); }
 
--- a/src/decision/decaying_counter.h
+++ b/src/decision/decaying_counter.h
@@ -1,4 +1,4 @@
-// A sum whose entries lose weight with their age.
+// A sum whose entries decay exponentially with their age.
 #pragma once
 
 #include <cmath>
@@ -7,8 +7,8 @@
 
 namespace gateway::decision {
 
-// Decays exponentially with a time constant ("memory") in seconds, which the caller passes to each call and
-// keeps the same. Divided by the memory, the value reads as a rate in units a second.
+// Decays with a time constant ("memory") in seconds. The caller has to pass the same time constant to each
+// call. The value divided by the time constant is a rate in units per second.
 class DecayingCounter {
   public:
     [[nodiscard]] double value(Micros now, double memory_s) const {
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -1,4 +1,4 @@
-// Routes events to the decision modules and the flow of requests.
+// Implements Gateway: routes events to the decision modules and to RequestFlow.
 #include <memory>
 #include <utility>
 #include <variant>
@@ -19,22 +19,18 @@
     void handle(Micros now, const Event& event, Actions& actions) {
         context().begin_event(now, actions);
         if (!context().heartbeat_started()) heartbeat();
-        std::visit([this](const auto& happened) { on(happened); }, event);
+        std::visit([this](const auto& occurred) { on(occurred); }, event);
     }
 
   private:
     Context& context() { return modules_.context; }
 
-    // ---- requests ----
-
     void on(const RequestArrived& arrival) { flow_.on_arrived(arrival); }
     void on(const AttemptEnded& ended) { flow_.on_attempt_ended(ended); }
     void on(const ResponseStarted& response) { flow_.on_response_started(response); }
     void on(const ClientDisconnected& client) { flow_.on_client_disconnected(client); }
     void on(const HealthCheckEnded& check) { flow_.on_health_check_ended(check); }
 
-    // ---- hosts ----
-
     void on(const HostsChanged& change) {
         modules_.hosts.update(change);
         flow_.remove_departed_hosts();
@@ -46,8 +42,6 @@
         flow_.dispatch_queued();
     }
 
-    // ---- messages of peers ----
-
     void on(const MessageArrived& message) {
         const Settings& settings = context().settings();
         const bool from_peer =
@@ -59,24 +53,22 @@
             std::visit([&](const auto& content) { on_peer(content, message.from); }, received);
     }
     void on_peer(const LeaseRequest& request, int from) {
-        if (!is_sound(request)) return;
+        if (!is_valid(request)) return;
         const bool urgent = request.required_units > 0 || request.ceiling_units > 0;
         modules_.messenger.post(from, modules_.ledger.grant(request), urgent);
     }
     void on_peer(const LeaseGrant& grant, int from) { flow_.on_lease_grant(from, grant); }
     void on_peer(const PermitRequest& request, int from) {
-        if (is_sound(request)) flow_.on_permit_request(request, from);
+        if (is_valid(request)) flow_.on_permit_request(request, from);
     }
     void on_peer(const PermitGrant& grant, int from) { flow_.on_permit_grant(grant, from); }
-    // Whether a request fits the settings here.
-    bool is_sound(const auto& request) {
+    // Whether a peer's request is valid under the settings of this gateway.
+    bool is_valid(const auto& request) {
         const Settings& settings = context().settings();
         return request.plan < static_cast<int>(settings.plans.size()) && request.set_size >= 1 &&
                request.set_size <= settings.instances;
     }
 
-    // ---- timers ----
-
     void on(const TimerFired& timer) {
         const auto [kind, subject] = read_timer_token(timer.token);
         if (kind == TimerKind::lease_request)
@@ -91,12 +83,12 @@
 
     void heartbeat() {
         context().heartbeat();
-        if (context().since(swept_at_) < sweep_period) return;
-        swept_at_ = context().now();
-        sweep();
+        if (context().since(last_sweep_at_) < sweep_period) return;
+        last_sweep_at_ = context().now();
+        remove_idle_state();
     }
-    // Drops what is idle.
-    void sweep() {
+    // Removes idle state from all modules.
+    void remove_idle_state() {
         flow_.remove_departed_hosts();
         modules_.hosts.expire_departed();
         const Micros idle_timeout = modules_.customers.idle_timeout();
@@ -106,11 +98,9 @@
         modules_.customers.expire_idle();
     }
 
-    // ---- upgrades ----
-
-    // The quotas go to the next process, but for what requests admitted here are still to take. Guards
-    // against two processes that spend one quota; costs the requests that wait for a lease or a permit just
-    // then.
+    // Passes the quotas to the successor process, except for the units reserved by requests that this process
+    // has admitted. This prevents two processes from spending the same quota. Requests that wait for a lease
+    // or a permit at that time are rejected.
     void on(const HandedOver& handover) {
         const bool had_handed_over = context().handed_over();
         context().set_handed_over(handover.away);
@@ -119,7 +109,8 @@
             modules_.ledger.clear();
             flow_.reject_waiting();
         }
-        // Taken back: as after a start, because the other process may have spent all that is not left here.
+        // If this process resumes, its quotas start empty, as after a process start, because the other
+        // process may have spent everything that it received.
         if (!handover.away) context().restart_at(context().now());
         for (auto& [name, customer] : modules_.customers) modules_.leases.reset(customer);
     }
@@ -131,7 +122,7 @@
 
     Modules modules_;
     RequestFlow flow_;
-    Micros swept_at_{0};
+    Micros last_sweep_at_{0};
 };
 
 Gateway::Gateway(Settings settings, std::uint64_t seed, Micros now)
--- a/src/decision/modules.h
+++ b/src/decision/modules.h
@@ -1,4 +1,4 @@
-// The decision modules of one gateway, wired in the order in which they depend on each other.
+// The decision modules of one gateway, declared in the order of their dependencies.
 #pragma once
 
 #include <cstdint>
@@ -21,9 +21,9 @@
 
 namespace gateway::decision {
 
-// Owns the modules. A module knows only those above it.
+// Owns the modules. A module depends only on modules declared above it.
 struct Modules {
-    // Throws std::invalid_argument where the settings cannot work.
+    // Throws std::invalid_argument if the settings are invalid.
     Modules(Settings settings, std::uint64_t seed, Micros now) : context(std::move(settings), seed, now) {}
 
     Context context;
--- a/src/decision/name_hash.h
+++ b/src/decision/name_hash.h
@@ -1,4 +1,4 @@
-// The hash of names that gateways exchange and that orders their hosts.
+// Hash of customer and host names. Gateways exchange it in peer messages and order their hosts by it.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,8 @@
 
 namespace gateway::decision {
 
-// 32-bit FNV-1a. The same in every gateway and version, because lease holders are found by it.
+// 32-bit FNV-1a. It must be the same in every gateway and version, because gateways determine lease holders
+// by it.
 [[nodiscard]] constexpr std::uint32_t name_hash(std::string_view name) {
     constexpr std::uint32_t offset_basis = 2166136261U;
     constexpr std::uint32_t prime = 16777619U;
--- a/src/decision/peer_message.cpp
+++ b/src/decision/peer_message.cpp
@@ -6,8 +6,8 @@
 namespace gateway::decision {
 namespace {
 
-// A message is its format, records of one peer message each, and the lower bytes of the hash of all that. A
-// record is its type and its fields, little-endian.
+// A datagram consists of a format byte, one record per peer message, and a checksum: the lower bytes of the
+// hash of all preceding bytes. A record consists of a type byte and its fields in little-endian order.
 constexpr std::uint32_t message_format = 0xA8;
 constexpr std::size_t checksum_bytes = 2;
 constexpr std::uint32_t checksum_mask = 0xFFFF;
@@ -19,7 +19,7 @@
     permit_grant = 4,
 };
 
-// Bytes of a record behind its type.
+// Sizes of the records in bytes, without the type byte.
 constexpr std::size_t lease_request_bytes = 19;
 constexpr std::size_t lease_grant_bytes = 12;
 constexpr std::size_t permit_request_bytes = 14;
@@ -27,8 +27,9 @@
 constexpr std::size_t longest_record_bytes = 1 + lease_request_bytes;
 static_assert(1 + max_records_per_message * longest_record_bytes + checksum_bytes <= max_message_bytes);
 
-constexpr double unit_steps = 16;    // units travel in sixteenths
-constexpr double max_steps = 65535;  // that two bytes hold
+// Units are encoded as multiples of a sixteenth, in two bytes.
+constexpr double unit_steps = 16;
+constexpr double max_steps = 65535;
 constexpr std::uint32_t max_wait_ms = 65535;
 constexpr int max_permits = 255;
 
@@ -40,12 +41,12 @@
         for (int i = 0; i < bytes; ++i) out_.push_back(static_cast<char>((value >> (8 * i)) & 0xFF));
     }
     void put_type(RecordType type) { put(static_cast<std::uint32_t>(type), 1); }
-    // A part of a unit counts as the next sixteenth.
+    // Rounds up to the next sixteenth of a unit.
     void put_units_rounded_up(double units) { put_steps(std::ceil(units * unit_steps)); }
-    // A part of a sixteenth is left out.
+    // Rounds down to a sixteenth of a unit.
     void put_units_rounded_down(double units) { put_steps(units * unit_steps); }
     void put_permits(int permits) { put(static_cast<std::uint32_t>(std::clamp(permits, 0, max_permits)), 1); }
-    // What requests for leases and permits begin with.
+    // Writes the fields that lease requests and permit requests begin with.
     void put_customer(const auto& request) {
         put(request.nonce, 4);
         put(request.customer, 4);
@@ -88,14 +89,14 @@
     std::string& out_;
 };
 
-// Reads from bytes whose length the caller has checked.
+// Reads fields from bytes. The caller has to check that enough bytes remain.
 class RecordReader {
   public:
     explicit RecordReader(std::string_view bytes) : rest_(bytes) {}
 
     [[nodiscard]] std::size_t size() const { return rest_.size(); }
     [[nodiscard]] bool empty() const { return rest_.empty(); }
-    std::uint32_t take(int bytes) {
+    std::uint32_t read(int bytes) {
         std::uint32_t value = 0;
         for (int i = 0; i < bytes; ++i) {
             const auto byte = static_cast<unsigned char>(rest_[static_cast<std::size_t>(i)]);
@@ -104,55 +105,55 @@
         rest_.remove_prefix(static_cast<std::size_t>(bytes));
         return value;
     }
-    int take_int(int bytes) { return static_cast<int>(take(bytes)); }
-    double take_units() { return take(2) / unit_steps; }
-    void take_customer(auto& request) {
-        request.nonce = take(4);
-        request.customer = take(4);
-        request.plan = take_int(1);
-        request.set_size = take_int(2);
-        request.set_start = take_int(2);
+    int read_int(int bytes) { return static_cast<int>(read(bytes)); }
+    double read_units() { return read(2) / unit_steps; }
+    void read_customer(auto& request) {
+        request.nonce = read(4);
+        request.customer = read(4);
+        request.plan = read_int(1);
+        request.set_size = read_int(2);
+        request.set_start = read_int(2);
     }
 
-    LeaseRequest take_lease_request() {
+    LeaseRequest read_lease_request() {
         LeaseRequest request;
-        take_customer(request);
-        request.required_units = take_units();
-        request.prefetch_units = take_units();
-        request.ceiling_units = take_units();
+        read_customer(request);
+        request.required_units = read_units();
+        request.prefetch_units = read_units();
+        request.ceiling_units = read_units();
         return request;
     }
-    LeaseGrant take_lease_grant() {
+    LeaseGrant read_lease_grant() {
         LeaseGrant grant;
-        grant.nonce = take(4);
-        grant.units = take_units();
-        grant.ceiling_units = take_units();
-        grant.retry_after_ms = take(2);
-        grant.demand = take_units();
+        grant.nonce = read(4);
+        grant.units = read_units();
+        grant.ceiling_units = read_units();
+        grant.retry_after_ms = read(2);
+        grant.demand = read_units();
         return grant;
     }
-    PermitRequest take_permit_request() {
+    PermitRequest read_permit_request() {
         PermitRequest request;
-        take_customer(request);
-        request.wanted = take_int(1);
+        read_customer(request);
+        request.wanted = read_int(1);
         return request;
     }
-    PermitGrant take_permit_grant() {
+    PermitGrant read_permit_grant() {
         PermitGrant grant;
-        grant.nonce = take(4);
-        grant.customer = take(4);
-        grant.granted = take_int(1);
-        grant.queue_length = take_int(1);
+        grant.nonce = read(4);
+        grant.customer = read(4);
+        grant.granted = read_int(1);
+        grant.queue_length = read_int(1);
         return grant;
     }
-    // Nothing for a record that is cut short or of an unknown type.
-    std::optional<PeerMessage> take_record() {
-        const auto type = static_cast<RecordType>(take(1));
-        if (type == RecordType::lease_request && size() >= lease_request_bytes) return take_lease_request();
-        if (type == RecordType::lease_grant && size() >= lease_grant_bytes) return take_lease_grant();
+    // Returns std::nullopt for a record that is truncated or of an unknown type.
+    std::optional<PeerMessage> read_record() {
+        const auto type = static_cast<RecordType>(read(1));
+        if (type == RecordType::lease_request && size() >= lease_request_bytes) return read_lease_request();
+        if (type == RecordType::lease_grant && size() >= lease_grant_bytes) return read_lease_grant();
         if (type == RecordType::permit_request && size() >= permit_request_bytes)
-            return take_permit_request();
-        if (type == RecordType::permit_grant && size() >= permit_grant_bytes) return take_permit_grant();
+            return read_permit_request();
+        if (type == RecordType::permit_grant && size() >= permit_grant_bytes) return read_permit_grant();
         return std::nullopt;
     }
 
@@ -177,12 +178,12 @@
     if (bytes.size() < 1 + checksum_bytes || bytes.size() > max_message_bytes) return std::nullopt;
     const std::string_view body = bytes.substr(0, bytes.size() - checksum_bytes);
     RecordReader checksum(bytes.substr(body.size()));
-    if (checksum.take(checksum_bytes) != (name_hash(body) & checksum_mask)) return std::nullopt;
+    if (checksum.read(checksum_bytes) != (name_hash(body) & checksum_mask)) return std::nullopt;
     RecordReader reader(body);
-    if (reader.take(1) != message_format) return std::nullopt;
+    if (reader.read(1) != message_format) return std::nullopt;
     std::vector<PeerMessage> messages;
     while (!reader.empty()) {
-        const std::optional<PeerMessage> message = reader.take_record();
+        const std::optional<PeerMessage> message = reader.read_record();
         if (!message) return std::nullopt;
         messages.push_back(*message);
     }
--- a/src/decision/peer_message.h
+++ b/src/decision/peer_message.h
@@ -1,4 +1,4 @@
-// Messages between gateways, and their bytes.
+// Peer messages and their encoding as datagrams.
 #pragma once
 
 #include <cstddef>
@@ -13,56 +13,58 @@
 
 namespace gateway::decision {
 
-// Asks a customer's lease holder for a lease on units of the quota, and of the ceiling's common share.
+// Requests a lease from a customer's lease holder: units of the quota, and units of the lease holder's share
+// of the ceiling.
 struct LeaseRequest {
-    std::uint32_t nonce = 0;     // of the request, repeated in its grant
+    std::uint32_t nonce = 0;     // identifies the request; the grant repeats it
     std::uint32_t customer = 0;  // hash of the customer's name
     int plan = 0;                // index into Settings::plans, below 256
-    int set_size = 1;            // gateways through which the customer's requests arrive
-    int set_start = 0;           // rank of the first of them
-    double required_units = 0;   // without which the lease is of no use
-    double prefetch_units = 0;   // further units that are likely to be used soon
-    double ceiling_units = 0;    // of the ceiling, that the requester's own share lacks
+    int set_size = 1;            // number of gateways through which the customer's requests arrive
+    int set_start = 0;           // rank of the first such gateway
+    double required_units = 0;   // units without which the requester cannot use the lease
+    double prefetch_units = 0;   // additional units for predicted demand
+    double ceiling_units = 0;    // units of the ceiling that the requester's own share lacks
 };
 
-// The answer to a LeaseRequest; all units 0: nothing is granted.
+// The answer to a LeaseRequest. If all units are 0, nothing is granted.
 struct LeaseGrant {
-    std::uint32_t nonce = 0;  // of the request
-    double units = 0;
-    double ceiling_units = 0;
-    std::uint32_t retry_after_ms = 0;  // where nothing is granted: until it could be
-    double demand = 0;  // units a second lately requested for this customer by all its gateways
+    std::uint32_t nonce = 0;           // nonce of the request
+    double units = 0;                  // granted units of the quota
+    double ceiling_units = 0;          // granted units of the ceiling
+    std::uint32_t retry_after_ms = 0;  // if nothing is granted: time until the units could be granted
+    double demand = 0;  // recent demand for this customer at all its gateways, in units per second
 };
 
-// Tells the lease holder how many permits of a customer's concurrency limit are of use to a gateway, those
-// that it has included; 0 returns them.
+// Reports to the lease holder how many permits of a customer's concurrency limit a gateway needs, including
+// those that it already holds. A request for 0 permits returns all of them.
 struct PermitRequest {
-    std::uint32_t nonce = 0;     // rises with each request of a gateway, modulo 2^32
+    std::uint32_t nonce = 0;     // increases with each request of a gateway, modulo 2^32
     std::uint32_t customer = 0;  // hash of the customer's name
     int plan = 0;                // index into Settings::plans, below 256
-    int set_size = 1;
-    int set_start = 0;
-    int wanted = 0;
+    int set_size = 1;            // number of gateways through which the customer's requests arrive
+    int set_start = 0;           // rank of the first such gateway
+    int wanted = 0;              // number of permits that the gateway needs
 };
 
-// The permits that a gateway has now.
+// The permits that a gateway holds from now on.
 struct PermitGrant {
-    std::uint32_t nonce = 0;  // of the gateway's latest request
-    std::uint32_t customer = 0;
-    int granted = 0;
-    int queue_length = 0;  // permits that gateways of the set wait for
+    std::uint32_t nonce = 0;     // nonce of the gateway's latest request
+    std::uint32_t customer = 0;  // hash of the customer's name
+    int granted = 0;             // number of permits that the gateway holds
+    int queue_length = 0;        // number of permits that gateways of the set wait for
 };
 
 using PeerMessage = std::variant<LeaseRequest, LeaseGrant, PermitRequest, PermitGrant>;
 
-// What fits into the bytes that one exchange of gateways may have.
+// Limits of one datagram: its size in bytes, and the number of records that fit into this size.
 inline constexpr std::size_t max_message_bytes = 256;
 inline constexpr std::size_t max_records_per_message = 12;
 
-// The bytes of the first `max_records_per_message` messages; further ones are left out. Units travel in
-// sixteenths, 4095 at most; those of requests are rounded up, those of grants down.
+// Encodes the first `max_records_per_message` messages as one datagram and ignores further messages. Units
+// are encoded as multiples of a sixteenth, up to 4095 units. Units of requests are rounded up, units of
+// grants down.
 [[nodiscard]] std::string encode(const std::vector<PeerMessage>& messages);
-// Nothing for bytes that no gateway of this version encodes.
+// Decodes a datagram. Returns std::nullopt for bytes that are not a valid datagram of this version.
 [[nodiscard]] std::optional<std::vector<PeerMessage>> decode(std::string_view bytes);
 
 }  // namespace gateway::decision
--- a/src/decision/peer_messenger.cpp
+++ b/src/decision/peer_messenger.cpp
@@ -7,31 +7,39 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr double usable_intake_share = 0.8;  // of what a peer takes in
-constexpr double intake_memory_s = 1;        // over which the own intake is measured
-constexpr double batched_share = 0.25;       // of the rate, for messages that no request waits for
-constexpr std::size_t max_outbox = 200;      // messages kept for one peer; more are dropped
-constexpr int unanswered_until_silent = 2;   // requests in a row
-constexpr Micros silent_period = 1s;         // a silent peer is passed over this long
+// Senders use at most this share of the rate of messages that a peer can receive.
+constexpr double usable_receive_share = 0.8;
+// Time constant in seconds of the rate at which this gateway receives messages.
+constexpr double receive_rate_memory_s = 1;
+// Share of the send rate that is used for messages that no request waits for.
+constexpr double batched_share = 0.25;
+// Maximum number of messages in the outbox of one peer. Further messages are dropped.
+constexpr std::size_t max_outbox_messages = 200;
+// A peer is silent after this number of consecutive unanswered requests.
+constexpr int unanswered_until_silent = 2;
+// A silent peer is skipped for this time.
+constexpr Micros silent_period = 1s;
 }  // namespace
 
 void PeerMessenger::post(int to, const PeerMessage& message, bool urgent) {
     Peer& peer = peers_[to];
-    if (peer.outbox.size() < max_outbox) peer.outbox.push_back(message);
+    if (peer.outbox.size() < max_outbox_messages) peer.outbox.push_back(message);
     if (urgent) flush(to, peer);
     else flush_in(to, peer, batching_delay());
 }
 
-// Messages a second that one peer may be sent: an even part of its intake, or what the own intake has left.
-double PeerMessenger::rate() const {
+// Maximum rate in messages per second to one peer: an even share of the rate that the peer can receive, or
+// the spare receive rate of this gateway if that is higher. The load of this gateway serves as an estimate of
+// the peer's load.
+double PeerMessenger::send_rate() const {
     const Settings& settings = context_.settings();
-    const double talkers = std::clamp(std::max(heard_, heard_before_), 1, settings.instances);
-    const double usable = settings.messages_per_s * usable_intake_share;
-    const double taken = intake_.value(context_.now(), intake_memory_s);
-    return std::max({1.0, usable / talkers, usable - taken / intake_memory_s});
+    const double senders = std::clamp(std::max(active_peers_, previous_active_peers_), 1, settings.instances);
+    const double usable_rate = settings.messages_per_s * usable_receive_share;
+    const double received = received_messages_.value(context_.now(), receive_rate_memory_s);
+    return std::max({1.0, usable_rate / senders, usable_rate - received / receive_rate_memory_s});
 }
 
-Micros PeerMessenger::batching_delay() const { return to_micros(1 / (rate() * batched_share)); }
+Micros PeerMessenger::batching_delay() const { return to_micros(1 / (send_rate() * batched_share)); }
 
 Micros PeerMessenger::queueing_delay(int to) const {
     const auto peer = peers_.find(to);
@@ -46,7 +54,7 @@
 }
 
 void PeerMessenger::flush(int to, Peer& peer) {
-    const double per_second = rate();
+    const double per_second = send_rate();
     const Micros now = context_.now();
     peer.tokens = std::min(burst, peer.tokens + per_second * to_seconds(now - peer.refilled_at));
     peer.refilled_at = now;
@@ -70,21 +78,21 @@
     std::optional<std::vector<PeerMessage>> messages = decode(message.bytes);
     if (!messages) return messages;
     const Micros now = context_.now();
-    intake_.add(1, now, intake_memory_s);
+    received_messages_.add(1, now, receive_rate_memory_s);
     Peer& peer = peers_[message.from];
     peer.unanswered = 0;
     peer.silent_until = 0us;
-    if (now - window_began_ >= silent_period) {
-        heard_before_ = std::exchange(heard_, 0);
-        window_began_ = now;
+    if (now - window_started_at_ >= silent_period) {
+        previous_active_peers_ = std::exchange(active_peers_, 0);
+        window_started_at_ = now;
     }
-    if (std::exchange(peer.heard_at, now) < window_began_) ++heard_;
+    if (std::exchange(peer.last_received_at, now) < window_started_at_) ++active_peers_;
     return messages;
 }
 
 void PeerMessenger::record_unanswered(int to, Micros sent_at) {
     Peer& peer = peers_[to];
-    if (peer.heard_at >= sent_at) return;
+    if (peer.last_received_at >= sent_at) return;
     ++peer.unanswered;
     if (peer.unanswered >= unanswered_until_silent) peer.silent_until = context_.now() + silent_period;
 }
--- a/src/decision/peer_messenger.h
+++ b/src/decision/peer_messenger.h
@@ -1,4 +1,5 @@
-// Messages to the other gateways: bundled, paced by what a peer takes in, and which peers are silent.
+// Sends messages to the other gateways in batches, limits their rate to what a peer can receive, and tracks
+// which peers are silent.
 #pragma once
 
 #include <optional>
@@ -15,52 +16,52 @@
   public:
     explicit PeerMessenger(Context& context) : context_(context) {}
 
-    // Sends a message to the peer of that rank. An urgent one goes at once while the peer has room for it, as
-    // far as the own intake tells; the rest is bundled. Guards against requests lost in a full intake; costs
-    // the wait.
+    // Sends a message to the peer with rank `to`. An urgent message is sent immediately, within the rate that
+    // the peer can receive, which is estimated from the load of this gateway. Other messages are batched.
+    // Rate limiting prevents the loss of requests at an overloaded peer, at the cost of a delay.
     void post(int to, const PeerMessage& message, bool urgent);
-    // How long a message that no request waits for may wait for one to travel with.
+    // Maximum time for which a message that is not urgent is delayed, so that it can be batched with others.
     [[nodiscard]] Micros batching_delay() const;
-    // How long the messages now waiting for that peer still wait.
+    // Time until the messages in the peer's outbox are sent; 0 if it is empty.
     [[nodiscard]] Micros queueing_delay(int to) const;
-    // The flush timer of that peer has fired.
+    // Handles the flush timer of the peer.
     void on_flush_timer(int to);
 
-    // The messages in the bytes, and that their sender is alive; nothing for bytes that no peer of this
-    // version packs.
+    // Decodes a datagram and records that its sender is alive. Returns std::nullopt for bytes that are not a
+    // valid datagram of this version.
     [[nodiscard]] std::optional<std::vector<PeerMessage>> receive(const MessageArrived& message);
-    // A request of that time to the peer is unanswered. A peer heard since is alive: the request or its
-    // answer was lost, or waits its turn. Guards against fallback holders that grant again what the holder
-    // grants.
+    // Records that a request sent to the peer at `sent_at` is unanswered. It does not count if the peer has
+    // sent any message since: the peer is alive, and the request or its answer was lost or is delayed. This
+    // prevents fallback holders from granting units that the lease holder grants as well.
     void record_unanswered(int to, Micros sent_at);
-    // Whether requests to the peer go unanswered, so that it is passed over for now.
+    // Whether the peer leaves requests unanswered and has to be skipped for now.
     [[nodiscard]] bool is_silent(int peer) const;
 
-    // Drops peers with which no message was exchanged for so long.
+    // Removes peers to which no message was sent for `idle_timeout`.
     void expire_idle(Micros idle_timeout);
 
   private:
-    static constexpr double burst = 3;  // messages sent to one peer at once
+    static constexpr double burst = 3;  // maximum number of datagrams sent to one peer at once
     struct Peer {
-        int unanswered = 0;     // requests in a row
-        Micros flush_at{0};     // when the outbox goes
-        double tokens = burst;  // messages that may go now
+        int unanswered = 0;     // number of consecutive unanswered requests
+        Micros flush_at{0};     // time at which the outbox is sent
+        double tokens = burst;  // number of datagrams that may be sent now
         Micros refilled_at{0};
         Micros silent_until{0};
-        Micros heard_at{0};
+        Micros last_received_at{0};
         std::vector<PeerMessage> outbox;
     };
 
-    [[nodiscard]] double rate() const;
+    [[nodiscard]] double send_rate() const;
     void flush(int to, Peer& peer);
     void flush_in(int to, Peer& peer, Micros wait);
 
     Context& context_;
-    std::unordered_map<int, Peer> peers_;  // by rank, those talked with
-    DecayingCounter intake_;               // messages received
-    int heard_ = 0;                        // peers heard in this window
-    int heard_before_ = 0;                 // and in the one before
-    Micros window_began_{0};
+    std::unordered_map<int, Peer> peers_;  // by rank
+    DecayingCounter received_messages_;    // datagrams received by this gateway
+    int active_peers_ = 0;                 // peers that sent a message in the current window
+    int previous_active_peers_ = 0;        // peers that sent a message in the previous window
+    Micros window_started_at_{0};
 };
 
 }  // namespace gateway::decision
--- a/src/decision/quota_leases.cpp
+++ b/src/decision/quota_leases.cpp
@@ -10,21 +10,29 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr int holder_count = 3;          // a customer's lease holder and its fallbacks
-constexpr int max_attempts = 4;          // lease requests for one waiting request
-constexpr Micros grant_timeout = 150ms;  // a lease request unanswered by then counts as lost
-constexpr double prefetch_s = 0.5;       // a requested lease covers so many seconds of the demand here
-constexpr double prefetch_factor = 3;    // of these, or of the last request's units, are prefetched
-constexpr double min_rate = 1e-9;        // units a second; keeps quotients finite
+// Number of gateways that can grant a customer's leases: the lease holder and its fallback holders.
+constexpr int holder_count = 3;
+// Maximum number of lease requests for one waiting request.
+constexpr int max_attempts = 4;
+// A lease request that is unanswered after this time counts as lost.
+constexpr Micros grant_timeout = 150ms;
+// A lease request covers the demand at this gateway for this number of seconds.
+constexpr double prefetch_s = 0.5;
+// A prefetch requests this multiple of that demand, or of the latest request's units if they are more.
+constexpr double prefetch_factor = 3;
+// Minimum rate in units per second. Keeps quotients finite.
+constexpr double min_rate = 1e-9;
 }  // namespace
 
-int QuotaLeases::holder(const Customer& customer, int place) const {
-    return lease_holder(context_.settings(), {customer.hash, customer.set_size, customer.set_start}, place);
+int QuotaLeases::holder(const Customer& customer, int fallback) const {
+    return lease_holder(context_.settings(), {customer.hash, customer.set_size, customer.set_start},
+                        fallback);
 }
 
-// The even share of that part of the ceiling that the lease holder does not own.
-double QuotaLeases::even_ceiling(const Customer& customer, double of_ceiling) {
-    return of_ceiling * (1 - holder_ceiling_share) / customer.set_size;
+// The even share of the part of the ceiling that the lease holder does not manage. `ceiling` is the rate or
+// the burst of the ceiling.
+double QuotaLeases::even_ceiling(const Customer& customer, double ceiling) {
+    return ceiling * (1 - holder_ceiling_share) / customer.set_size;
 }
 
 void QuotaLeases::refill(Customer& customer) {
@@ -42,10 +50,11 @@
 
 double QuotaLeases::demand_share(const Customer& customer) const {
     const QuotaState& quota = customer.quota;
-    const double even = 1.0 / customer.set_size;
-    const double own = quota.demand.value(context_.now(), demand_memory_s) / demand_memory_s;
-    if (quota.fleet_demand_at <= 0us || context_.since(quota.fleet_demand_at) > sweep_period) return even;
-    return std::clamp(own / std::max({own, quota.fleet_demand, min_rate}), even, 1.0);
+    const double even_share = 1.0 / customer.set_size;
+    const double own_demand = quota.demand.value(context_.now(), demand_memory_s) / demand_memory_s;
+    if (quota.fleet_demand_at <= 0us || context_.since(quota.fleet_demand_at) > sweep_period)
+        return even_share;
+    return std::clamp(own_demand / std::max({own_demand, quota.fleet_demand, min_rate}), even_share, 1.0);
 }
 
 double QuotaLeases::deficit(const Customer& customer, double units) const {
@@ -76,7 +85,7 @@
     return wait;
 }
 
-void QuotaLeases::record_turned_down(Customer& customer, double units) {
+void QuotaLeases::record_rejected(Customer& customer, double units) {
     customer.quota.exhausted_for_units = units;
 }
 
@@ -96,8 +105,8 @@
                          0,
                          ceiling_deficit(customer, units)};
     request.prefetch_units = std::max(0.0, upcoming_demand(customer) - units);
-    for (int place = 0; place < holder_count && quota.attempts < max_attempts; ++place) {
-        const int to = holder(customer, place);
+    for (int fallback = 0; fallback < holder_count && quota.attempts < max_attempts; ++fallback) {
+        const int to = holder(customer, fallback);
         if (to == settings.rank) return ledger_.grant(request);
         if (!settings.may_message_peers || messenger_.is_silent(to)) continue;
         ++quota.attempts;
@@ -111,7 +120,7 @@
 std::uint32_t QuotaLeases::send_request(Customer& customer, int to, LeaseRequest request, bool prefetch) {
     request.nonce = context_.next_nonce();
     messenger_.post(to, request, !prefetch);
-    // One that waits in the outbox is not lost yet.
+    // The timeout starts when the request leaves the outbox.
     const Micros queued = messenger_.queueing_delay(to);
     pending_[request.nonce] = {&customer, to, context_.now() + queued, prefetch};
     const Micros batched = prefetch ? messenger_.batching_delay() : 0us;
@@ -125,21 +134,21 @@
     const Plan* plan = plan_of(settings, customer);
     if (!plan || plan->rate <= 0 || quota.prefetching) return;
     if (context_.now() < quota.exhausted_until || context_.handed_over()) return;
-    const double soon = std::max(units, upcoming_demand(customer));
+    const double expected_units = std::max(units, upcoming_demand(customer));
     const int to = holder(customer, 0);
-    // What lies unspent at the gateways of a set is more than the customer's own bucket would hold, because
-    // that fills to the burst only: together they keep no more than that ahead.
+    // Limits the prefetched units of all gateways of the set to one burst in total, because the customer's
+    // token bucket holds no more than a burst.
     const double limit = plan->burst / customer.set_size;
-    if (quota.tokens >= soon || limit < units || to == settings.rank) return;
+    if (quota.tokens >= expected_units || limit < units || to == settings.rank) return;
     if (!settings.may_message_peers || messenger_.is_silent(to)) return;
-    const double ahead = std::min(prefetch_factor * soon, limit);
+    const double prefetch_units = std::min(prefetch_factor * expected_units, limit);
     const LeaseRequest request{0,
                                customer.hash,
                                customer.plan,
                                customer.set_size,
                                customer.set_start,
                                0,
-                               ahead,
+                               prefetch_units,
                                ceiling_deficit(customer, units)};
     quota.prefetching = true;
     send_request(customer, to, request, true);
@@ -205,10 +214,10 @@
 std::optional<AcceptedGrant> QuotaLeases::accept(int from, LeaseGrant grant) {
     const auto lease = pending_.find(grant.nonce);
     if (lease == pending_.end() || lease->second.to != from) return std::nullopt;
-    // The holder's share of the ceiling may have refilled since.
+    // The lease holder's share of the ceiling may have refilled since the request was sent.
     if (context_.since(lease->second.sent_at) > 2 * grant_timeout) grant.ceiling_units = 0;
-    const bool for_waiting = !lease->second.overdue && !lease->second.prefetch;
-    return AcceptedGrant{&close(lease), grant, for_waiting};
+    const bool for_waiting_request = !lease->second.overdue && !lease->second.prefetch;
+    return AcceptedGrant{&close(lease), grant, for_waiting_request};
 }
 
 Customer* QuotaLeases::on_timeout(std::uint32_t nonce) {
@@ -242,7 +251,7 @@
 
 void QuotaLeases::expire_overdue() {
     for (auto lease = pending_.begin(); lease != pending_.end();) {
-        const auto current = lease++;  // the order does not matter: nothing is emitted
+        const auto current = lease++;  // the iteration order is irrelevant, because no action is emitted
         if (current->second.overdue && context_.since(current->second.sent_at) >= sweep_period)
             close(current);
     }
--- a/src/decision/quota_leases.h
+++ b/src/decision/quota_leases.h
@@ -1,4 +1,5 @@
-// The borrower's side of quotas: leases held and requested here, and what to do where no holder answers.
+// The borrower's part of quotas: the leases that this gateway holds and requests, and the even slice of the
+// quota that applies if no lease holder answers.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +14,11 @@
 
 namespace gateway::decision {
 
-// A lease request has been sent; its grant or its timeout follows.
+// A lease request was sent to a peer. Its grant or its timeout follows.
 struct LeaseRequested {};
-// No lease holder is there to be asked: the even slice of the quota decides.
+// No lease holder can be reached. The even slice of the quota applies.
 struct NoLeaseHolder {};
-// The answer to a request for a lease: granted by this gateway's own ledger, requested from a peer, or
+// The result of QuotaLeases::acquire: the grant of this gateway's own ledger, a pending request to a peer, or
 // neither.
 using LeaseAnswer = std::variant<LeaseGrant, LeaseRequested, NoLeaseHolder>;
 
@@ -25,7 +26,7 @@
 struct AcceptedGrant {
     Customer* customer;
     LeaseGrant grant;
-    bool for_waiting;  // false: prefetched, or come after it counted as lost
+    bool for_waiting_request;  // false: the lease was prefetched, or its request counted as lost
 };
 
 class QuotaLeases {
@@ -35,76 +36,81 @@
 
     // Refills this gateway's own share of the customer's ceiling.
     void refill(Customer& customer);
-    // Counts a request's units as recent demand.
+    // Adds a request's units to the recent demand.
     void record_demand(Customer& customer, double units);
-    // This gateway's share of the customer's recent demand, from 0 to 1; the even split where no holder
-    // reported it lately.
+    // This gateway's share of the customer's recent demand, from 0 to 1. It is the even share if no lease
+    // holder has reported the fleet's demand recently.
     [[nodiscard]] double demand_share(const Customer& customer) const;
 
-    // Whether what is held here covers a request of so many units.
+    // Whether the tokens at this gateway cover a request of `units`.
     [[nodiscard]] bool covers(const Customer& customer, double units) const;
-    // Units that the customer's own share of the ceiling lacks for such a request.
+    // Units that this gateway's share of the ceiling lacks for a request of `units`.
     [[nodiscard]] double ceiling_deficit(const Customer& customer, double units) const;
-    // How long the lease holder has nothing for such a request; nothing where that is not known.
+    // Time for which the lease holder has no lease for a request of `units`; std::nullopt if unknown.
     [[nodiscard]] std::optional<Micros> exhausted_for(const Customer& customer, double units) const;
-    // The lease holder has nothing now. Returns the wait until it could have.
+    // Records that the lease holder has granted nothing. Returns the time until it could grant a lease.
     Micros mark_exhausted(Customer& customer, const LeaseGrant& empty_grant);
-    // A request of so many units was turned down for that.
-    static void record_turned_down(Customer& customer, double units);
+    // Records that a request of `units` was rejected because the lease holder is exhausted.
+    static void record_rejected(Customer& customer, double units);
 
-    // Asks for what a request of so many units lacks: the holder, else its fallbacks.
+    // Requests the units that a request of `units` lacks from the lease holder, or from a fallback holder if
+    // the lease holder is silent.
     LeaseAnswer acquire(Customer& customer, double units);
-    // Asks ahead once the tokens would not cover the next request like this one, or the demand until a lease
-    // request is answered. Guards against every request waiting for a lease of its own; costs what then lies
-    // here while others could use it, a request's units or so.
+    // Requests a lease for predicted demand once the tokens do not cover another request of `units` or the
+    // demand of the near future. Without prefetching, every request would wait for a lease of its own. The
+    // cost is that about the units of one request are held at this gateway while others could use them.
     void prefetch(Customer& customer, double units);
-    // Puts a grant into the customer's tokens.
+    // Adds the granted units to the customer's tokens.
     void credit(Customer& customer, const LeaseGrant& grant);
-    // The tokens that the even slice of the quota covers, one request at once; otherwise the wait until it
-    // would. Guards against lost messages and dead holders; exceeds the quota by a request for each gateway
-    // of the set at most.
+    // Adds the missing tokens if the even slice of the quota covers a request of `units`, and returns
+    // std::nullopt. Otherwise returns the time until the even slice covers it. The even slice covers one
+    // request at a time. It keeps customers served when messages are lost or lease holders fail, and exceeds
+    // the quota by at most one request for each gateway of the set.
     [[nodiscard]] std::optional<Micros> take_even_slice(Customer& customer, double units);
-    // How long the own share of the ceiling takes to cover such a request.
+    // Time until this gateway's share of the ceiling covers a request of `units`.
     [[nodiscard]] Micros ceiling_wait(const Customer& customer, double units) const;
 
-    // A request is admitted: takes its tokens and reserves its part of the ceiling.
+    // Deducts the tokens of a request that is admitted, and reserves its units of the ceiling.
     void reserve(Customer& customer, double units, bool within_quota);
-    // It is forwarded for the first time: its part of the ceiling is spent.
+    // Spends the reserved units of the ceiling when an admitted request is forwarded for the first time.
     void spend_ceiling(Customer& customer, double units);
-    // It ends without being forwarded: gives back what it had reserved.
+    // Returns the tokens and the reserved units of an admitted request that ends without being forwarded.
     void release(Customer& customer, double units, bool within_quota);
-    // A request has turned out to take other units than were reserved.
+    // Corrects the tokens after a request used `actual` units instead of the `reserved` ones.
     static void correct(Customer& customer, double reserved, double actual);
 
-    // A grant has come from a peer. Nothing where it answers no request of this gateway.
+    // Accepts a grant from a peer. Returns std::nullopt if it answers no pending request of this gateway to
+    // that peer.
     [[nodiscard]] std::optional<AcceptedGrant> accept(int from, LeaseGrant grant);
-    // The timer of a lease request has fired. Returns the customer that has to acquire again, or null.
+    // Handles the timeout of a lease request. Returns the customer that has to acquire a lease again, or
+    // null.
     [[nodiscard]] Customer* on_timeout(std::uint32_t nonce);
-    // Forgets requests whose grant has not come for long.
+    // Removes lease requests that have been overdue for too long.
     void expire_overdue();
 
-    // Another process holds the quotas now: forgets all lease requests.
+    // Drops all lease requests, because another process holds the quotas now.
     void abandon_requests() { pending_.clear(); }
     static void abandon_requests(Customer& customer);
-    // Quotas start from nothing at this process, except what admitted requests have reserved.
+    // Empties the customer's quota at this gateway, except for the units that admitted requests have
+    // reserved.
     void reset(Customer& customer);
-    // What the process before this one had reserved of the ceiling and not forwarded counts as spent.
+    // Counts the units of the ceiling as spent that the predecessor process had reserved and not forwarded.
     static void settle_inherited(Customer& customer);
 
   private:
     struct PendingLease {
         Customer* customer;
-        int to;          // rank
-        Micros sent_at;  // when it left the outbox
+        int to;          // rank of the peer
+        Micros sent_at;  // time at which the request leaves the outbox
         bool prefetch = false;
-        bool overdue = false;  // counts as lost; its grant may come all the same
+        bool overdue = false;  // the request counts as lost, but its grant may still arrive
     };
     using PendingLeases = std::unordered_map<std::uint32_t, PendingLease>;
 
     [[nodiscard]] double deficit(const Customer& customer, double units) const;
-    [[nodiscard]] static double even_ceiling(const Customer& customer, double of_ceiling);
+    [[nodiscard]] static double even_ceiling(const Customer& customer, double ceiling);
     [[nodiscard]] double upcoming_demand(const Customer& customer) const;
-    [[nodiscard]] int holder(const Customer& customer, int place) const;
+    [[nodiscard]] int holder(const Customer& customer, int fallback) const;
     std::uint32_t send_request(Customer& customer, int to, LeaseRequest request, bool prefetch);
     Customer& close(PendingLeases::iterator lease);
 
--- a/src/decision/quota_ledger.cpp
+++ b/src/decision/quota_ledger.cpp
@@ -8,8 +8,10 @@
 
 namespace gateway::decision {
 namespace {
-constexpr double max_wait_s = 60;  // that a grant of nothing tells
-constexpr double min_rate = 1e-9;  // units a second; keeps quotients finite
+// Longest wait in seconds that an empty grant reports.
+constexpr double max_wait_s = 60;
+// Minimum rate in units per second. Keeps quotients finite.
+constexpr double min_rate = 1e-9;
 }  // namespace
 
 QuotaLedger::Ledger& QuotaLedger::find_or_create(std::uint32_t customer, const Plan& plan) {
@@ -22,7 +24,8 @@
     return ledger;
 }
 
-// A fallback holder keeps less of the burst, and gives nothing of the ceiling, because the holder owns that.
+// A fallback holder keeps a smaller burst and grants no units of the ceiling, because the lease holder
+// manages them.
 void QuotaLedger::refill(Ledger& ledger, const Plan& plan, bool is_holder) {
     const double elapsed_s = to_seconds(context_.since(std::exchange(ledger.refilled_at, context_.now())));
     const double capacity = plan.burst * (is_holder ? 1 : initial_burst_share);
@@ -33,14 +36,14 @@
                  ledger.ceiling_tokens + elapsed_s * holder_ceiling_share * plan.ceiling_rate);
 }
 
-// Each gateway that is turned down gets a turn of its own. Guards against all of them coming for the same
-// units, and then again, through a full intake.
-Micros QuotaLedger::wait_in_turn(Ledger& ledger, const Plan& plan, double required) {
+// Schedules the retries of rejected gateways one after the other. Otherwise all of them would request the
+// same units at the same time, repeatedly, and overload this gateway's receive rate.
+Micros QuotaLedger::schedule_retry(Ledger& ledger, const Plan& plan, double required) {
     const double rate = std::max(plan.rate, min_rate);
-    const Micros turn = ledger.promised_until + to_micros(required / rate);
+    const Micros next_slot = ledger.retries_scheduled_until + to_micros(required / rate);
     const double missing_s = (required - ledger.tokens) / rate;
-    ledger.promised_until = std::max(context_.now() + to_micros(missing_s), turn);
-    return ledger.promised_until - context_.now();
+    ledger.retries_scheduled_until = std::max(context_.now() + to_micros(missing_s), next_slot);
+    return ledger.retries_scheduled_until - context_.now();
 }
 
 LeaseGrant QuotaLedger::grant(const LeaseRequest& request) {
@@ -55,7 +58,7 @@
     grant.demand = ledger.demand.value(context_.now(), demand_memory_s) / demand_memory_s;
     double wait_s = 0;
     if (request.required_units > ledger.tokens)
-        wait_s = to_seconds(wait_in_turn(ledger, plan, request.required_units));
+        wait_s = to_seconds(schedule_retry(ledger, plan, request.required_units));
     if (ledger.ceiling_tokens < request.ceiling_units)
         wait_s = std::max(
             wait_s, (request.ceiling_units - ledger.ceiling_tokens) / std::max(plan.ceiling_rate, min_rate));
--- a/src/decision/quota_ledger.h
+++ b/src/decision/quota_ledger.h
@@ -1,4 +1,4 @@
-// The lease holder's side of quotas: what no gateway holds a lease of yet.
+// The lease holder's part of quotas: the units that are not leased to any gateway yet.
 #pragma once
 
 #include <cstdint>
@@ -11,34 +11,35 @@
 
 namespace gateway::decision {
 
-// Start share of an empty quota: a new ledger, or a fallback holder's, has so much of the burst.
+// Share of the burst that a new ledger starts with, and the maximum that a fallback holder's ledger holds.
 inline constexpr double initial_burst_share = 0.5;
-// Share of the ceiling that the lease holder grants from; the rest is split evenly among the gateways.
+// Share of the ceiling that the lease holder grants from. The rest is split evenly among the gateways.
 inline constexpr double holder_ceiling_share = 0.5;
 
 // A gateway that holds or wants concurrency permits of a customer.
 struct PermitHolder {
     int rank = 0;
-    std::uint32_t nonce = 0;  // of its latest request
-    int wanted = 0;
-    int granted = 0;
-    Micros valid_until{0};
+    std::uint32_t nonce = 0;  // nonce of the gateway's latest request
+    int wanted = 0;           // number of permits that the gateway needs
+    int granted = 0;          // number of permits that the gateway holds
+    Micros valid_until{0};    // time at which the permits expire
 };
 
-// Owns the ledgers of the customers whose lease holder, or fallback holder, this gateway is.
+// Owns the ledgers of the customers for which this gateway is the lease holder or a fallback holder.
 class QuotaLedger {
   public:
     explicit QuotaLedger(Context& context) : context_(context) {}
 
-    // Grants the units that are required or nothing, and at most half of the rest on top for prefetching.
-    // They leave the ledger first, so that leases lost on the way are lost and none counts twice. Where
-    // nothing is granted, tells how long to wait. Costs a burst at most for each holder that restarts.
+    // Grants all required units or nothing, plus at most half of the remaining units for prefetching. An
+    // empty grant reports the time to wait. Granted units are deducted from the ledger before the grant is
+    // sent, so that the units of a lost grant are lost and no unit is granted twice. Each restart of a holder
+    // can exceed the quota by at most one burst.
     LeaseGrant grant(const LeaseRequest& request);
-    // The gateways that hold or want permits of the customer, the one that waits longest first.
+    // The gateways that hold or need permits of the customer, with the longest waiting gateway first.
     [[nodiscard]] std::vector<PermitHolder>& permit_holders(std::uint32_t customer, const Plan& plan);
-    // Drops ledgers unused for so long.
+    // Removes ledgers that have served no lease request for `idle_timeout`.
     void expire_idle(Micros idle_timeout);
-    // Drops all, because another process holds them now.
+    // Removes all ledgers, because another process holds them now.
     void clear() { ledgers_.clear(); }
 
     void serialize(auto& codec) { codec(ledgers_); }
@@ -48,16 +49,21 @@
         double tokens = 0;          // units of the quota
         double ceiling_tokens = 0;  // units of the holder's share of the ceiling
         Micros refilled_at{0};
-        Micros promised_until{0};  // by when all that were turned down could have been given what they lacked
-        DecayingCounter demand;    // units asked for by all gateways
-        std::vector<PermitHolder> permit_holders;  // not part of a snapshot: gateways request permits anew
+        // Time by which the quota has refilled enough for the retries of all gateways that were rejected.
+        Micros retries_scheduled_until{0};
+        // Units requested by all gateways.
+        DecayingCounter demand;
+        // Not part of the snapshot, because gateways request their permits again.
+        std::vector<PermitHolder> permit_holders;
 
-        void serialize(auto& codec) { codec(tokens, ceiling_tokens, refilled_at, promised_until, demand); }
+        void serialize(auto& codec) {
+            codec(tokens, ceiling_tokens, refilled_at, retries_scheduled_until, demand);
+        }
     };
 
     Ledger& find_or_create(std::uint32_t customer, const Plan& plan);
     void refill(Ledger& ledger, const Plan& plan, bool is_holder);
-    Micros wait_in_turn(Ledger& ledger, const Plan& plan, double required);
+    Micros schedule_retry(Ledger& ledger, const Plan& plan, double required);
 
     Context& context_;
     std::unordered_map<std::uint32_t, Ledger> ledgers_;  // by hash of the customer's name
--- a/src/decision/request.h
+++ b/src/decision/request.h
@@ -1,4 +1,4 @@
-// One request that this gateway has in hand.
+// The state of one request at this gateway.
 #pragma once
 
 #include <string>
@@ -11,21 +11,21 @@
 
 namespace gateway::decision {
 
-// From its arrival until it has its final answer or its client has disconnected.
+// Exists from the request's arrival until it has its final answer or its client has disconnected.
 struct Request {
     RequestArrived arrival;
     Customer* customer = nullptr;
-    Micros deadline{0};      // when the client gives up
-    Micros latest_start{0};  // an attempt sent later is unlikely to be answered in time
-    int traffic_class = 0;   // its request class and plan, as one number
+    Micros deadline{0};      // time at which the client gives up
+    Micros latest_start{0};  // an attempt sent after this time is unlikely to be answered in time
+    int traffic_class = 0;   // combines the request class and the plan in one number
 
-    bool within_quota = true;      // false: admitted beyond the quota
-    bool admitted = false;         // quota and permits cover it
-    bool forwarded = false;        // an attempt was sent
-    bool queued = false;           // waits for a host, in the request queue
-    bool checking_health = false;  // waits for health checks
+    bool within_quota = true;      // false: the request was admitted beyond the quota
+    bool admitted = false;         // whether the request has passed the quota and the concurrency limit
+    bool forwarded = false;        // whether an attempt was sent
+    bool queued = false;           // whether the request waits for a host in the request queue
+    bool checking_health = false;  // whether the request waits for the results of health checks
 
-    std::vector<Host*> candidates;  // the best hosts, at the latest choice
+    std::vector<Host*> candidates;  // the best hosts of the latest host selection
     int health_check_rounds = 0;
     int health_checks_in_flight = 0;
 
--- a/src/decision/request_admission.cpp
+++ b/src/decision/request_admission.cpp
@@ -1,4 +1,4 @@
-// RequestFlow: from a request's arrival until it is admitted or rejected.
+// Implements the first part of RequestFlow: from a request's arrival until it is admitted or rejected.
 #include <algorithm>
 #include <utility>
 #include <variant>
@@ -9,12 +9,15 @@
 namespace {
 using namespace std::chrono_literals;
 
-// Time kept for the answer when the latest start is worked out.
-constexpr double response_margin = 1.3;    // expected response times
-constexpr double max_margin_share = 0.8;   // of the time left until the objective
-constexpr double inherited_responses = 2;  // mean response times for which inherited attempts count
+// The latest start of a request leaves time for the answer: this multiple of the expected response time,
+// limited to a share of the time left until the latency objective.
+constexpr double response_margin = 1.3;
+constexpr double max_margin_share = 0.8;
+// Inherited attempts count as in flight for this multiple of the mean response time.
+constexpr double inherited_responses = 2;
 
-// Timers come on the grid of the tick: what has less time left than two ticks could not be answered in time.
+// Timers fire at multiples of the tick. A request with at most this number of ticks left cannot be answered
+// in time.
 constexpr int min_ticks_left = 2;
 }  // namespace
 
@@ -75,7 +78,8 @@
     if (customer.quota.pending_nonce == 0) acquire_lease(customer);
 }
 
-// While the back end is overloaded, the demand share of the quota with a warm-up cost binds as well.
+// While the hosts are overloaded, the warm-up limiter additionally restricts the customer to this gateway's
+// demand share of the quota.
 void RequestFlow::admit(Request& request) {
     Customer& customer = *request.customer;
     const Plan* const plan = plan_of(context_.settings(), customer);
@@ -109,8 +113,6 @@
     admit(request);
 }
 
-// ---- leases ---------------------------------------------------------------------------------------------
-
 void RequestFlow::drop_completed(std::vector<RequestId>& ids) const {
     std::erase_if(ids, [this](RequestId id) { return !requests_.contains(id); });
 }
@@ -140,33 +142,33 @@
     for (const RequestId id : std::exchange(customer.quota.waiting, {})) {
         Request* const request = find(id);
         if (request == nullptr) continue;
-        QuotaLeases::record_turned_down(customer, request->arrival.units);
+        QuotaLeases::record_rejected(customer, request->arrival.units);
         reject_or_admit_excess(*request, wait, RejectionReason::over_quota);
     }
 }
 
 bool RequestFlow::credit(Customer& customer, const LeaseGrant& grant) {
     modules_.leases.credit(customer, grant);
-    bool any = false;
+    bool any_covered = false;
     for (const RequestId id : std::exchange(customer.quota.waiting, {})) {
         Request* const request = find(id);
         if (request == nullptr) continue;
         if (modules_.leases.covers(customer, request->arrival.units)) {
             seek_admission(*request);
-            any = true;
+            any_covered = true;
         } else {
             customer.quota.waiting.push_back(id);
         }
     }
-    return any;
+    return any_covered;
 }
 
 void RequestFlow::on_lease_grant(int from, const LeaseGrant& grant) {
     const std::optional<AcceptedGrant> accepted = modules_.leases.accept(from, grant);
     if (!accepted) return;
-    if (accepted->for_waiting) return apply_grant(*accepted->customer, accepted->grant);
-    // Its units are off the holder's ledger, so that nobody else has them. A grant of nothing is out of date
-    // by now: a later request has the say.
+    if (accepted->for_waiting_request) return apply_grant(*accepted->customer, accepted->grant);
+    // The granted units are already deducted from the holder's ledger, so they are used here. An empty grant
+    // is ignored, because it is outdated: the answer to a later lease request decides.
     if (accepted->grant.units > 0 || accepted->grant.ceiling_units > 0)
         credit(*accepted->customer, accepted->grant);
 }
@@ -175,10 +177,8 @@
     if (Customer* const customer = modules_.leases.on_timeout(nonce)) acquire_lease(*customer);
 }
 
-// ---- concurrency permits --------------------------------------------------------------------------------
-
-// Beyond the concurrency limit: waits until an attempt ends, or is rejected at once where its turn would come
-// too late.
+// Makes a request beyond the concurrency limit wait until an attempt ends. If its expected wait ends after
+// its latest start, the request is rejected immediately or admitted as excess.
 void RequestFlow::await_permit(Request& request) {
     Customer& customer = *request.customer;
     drop_completed(customer.permits.waiting);
@@ -202,13 +202,13 @@
 
 void RequestFlow::request_permits(Customer& customer, bool renew) {
     drop_completed(customer.permits.waiting);
-    const std::optional<PermitGrant> own = modules_.permits.request(customer, renew);
-    if (own) on_permit_grant(*own, context_.settings().rank);
+    const std::optional<PermitGrant> own_grant = modules_.permits.request(customer, renew);
+    if (own_grant) on_permit_grant(*own_grant, context_.settings().rank);
 }
 
 void RequestFlow::on_permit_request(const PermitRequest& request, int from) {
-    const std::optional<PermitGrant> own = modules_.permits.lend(request, from);
-    if (own) on_permit_grant(*own, context_.settings().rank);
+    const std::optional<PermitGrant> own_grant = modules_.permits.lend(request, from);
+    if (own_grant) on_permit_grant(*own_grant, context_.settings().rank);
 }
 
 void RequestFlow::on_permit_grant(const PermitGrant& grant, int from) {
@@ -221,12 +221,10 @@
     Customer* const customer = modules_.customers.find(customer_hash);
     if (customer == nullptr || !modules_.permits.renewal_due(*customer)) return;
     if (modules_.permits.borrows(*customer)) return request_permits(*customer, true);
-    ConcurrencyPermits::reset(*customer);  // the holder is silent
+    ConcurrencyPermits::reset(*customer);  // the lease holder is silent
     admit_waiting_for_permit(*customer);
 }
 
-// ---- upgrades -------------------------------------------------------------------------------------------
-
 void RequestFlow::reject_waiting() {
     modules_.leases.abandon_requests();
     std::vector<RequestId> waiting;
--- a/src/decision/request_dispatch.cpp
+++ b/src/decision/request_dispatch.cpp
@@ -1,4 +1,4 @@
-// RequestFlow: from admission to the final answer.
+// Implements the second part of RequestFlow: from admission to the final answer.
 #include <algorithm>
 #include <utility>
 
@@ -8,9 +8,12 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr Micros health_check_wait = 40ms;   // the better of two hosts is waited for
-constexpr Micros queue_retry_delay = 100ms;  // a queued request looks for a host again
-constexpr int max_health_check_rounds = 2;   // of two hosts each, for one request
+// A request waits at most this time for the health checks of its two candidates.
+constexpr Micros health_check_wait = 40ms;
+// A queued request repeats the host selection after this time.
+constexpr Micros queue_retry_delay = 100ms;
+// Maximum number of health check rounds for one request. A round checks two hosts.
+constexpr int max_health_check_rounds = 2;
 }  // namespace
 
 Request* RequestFlow::find(RequestId id) {
@@ -28,8 +31,6 @@
     return classes.empty() ? 1 : to_seconds(classes.front().latency_objective);
 }
 
-// ---- dispatch -------------------------------------------------------------------------------------------
-
 void RequestFlow::dispatch(Request& request) {
     const Micros now = context_.now();
     if (now <= request.latest_start && try_send(request)) return;
@@ -69,7 +70,7 @@
         check_health_of_candidates(request);
         return true;
     }
-    // The budget is spent: the own estimate alone decides.
+    // The health check budget is spent, so this gateway's own load estimate decides.
     if (modules_.load.outstanding(best) >= modules_.load.limit(best)) return false;
     send(request, best);
     return true;
@@ -129,9 +130,9 @@
         if (request == nullptr || !request->checking_health) continue;
         if (std::count(request->candidates.begin(), request->candidates.end(), host) == 0) continue;
         --request->health_checks_in_flight;
-        const bool takes_it = success && host->load.idle && modules_.selector.has_capacity(*host) &&
-                              modules_.selector.may_take(*host, *request);
-        if (takes_it) send(*request, *host);
+        const bool can_accept = success && host->load.idle && modules_.selector.has_capacity(*host) &&
+                                modules_.selector.may_take(*host, *request);
+        if (can_accept) send(*request, *host);
         else if (request->health_checks_in_flight <= 0) send_to_best_candidate(*request);
     }
     dispatch_queued();
@@ -148,8 +149,9 @@
         request->health_check_rounds = 0;
         dispatch(*request);
     } else if (kind == TimerKind::expiry && !request->admitted && context_.now() >= request->latest_start) {
-        // A grant that comes later would find it too late to leave. Guards against lost lease requests and
-        // slow holders that delay a rejection until the client is about to give up.
+        // After its latest start, the request could not be sent even if a grant arrived. Without this timer,
+        // lost lease requests and slow lease holders would delay the rejection until shortly before the
+        // client gives up.
         give_up(*request, RejectionReason::no_lease_in_time);
     } else if (kind == TimerKind::silence_check) {
         check_for_silence(*request);
@@ -159,8 +161,6 @@
     dispatch_queued();
 }
 
-// ---- outcomes, retries and hedges -----------------------------------------------------------------------
-
 void RequestFlow::on_attempt_ended(const AttemptEnded& ended) {
     Request* const request = find(ended.id);
     if (Host* const host = modules_.hosts.find(ended.host)) record_outcome(*host, ended, request);
@@ -199,17 +199,20 @@
         modules_.outliers.penalize(host, request->traffic_class);
 }
 
-// Only from the retry budget, and only if it can still be in time.
+// Retries the request if the rules allow it, if the retry can be answered in time and if the retry budget
+// covers it. Otherwise gives up.
 void RequestFlow::retry(Request& request) {
-    // A retry goes to a host that shares its memory of keys with the last attempt's host, which stands for
-    // it.
+    // The retry has to go to a host that shares its store of idempotency keys with the last attempt's host,
+    // so the zone and cell of that host are checked.
     const RequestHistory::Attempt& last = request.history.attempts().back();
-    const HostPlace place{last.zone, last.cell};
+    const HostPlace last_location{last.zone, last.cell};
     const Micros now = context_.now();
-    const SendVerdict verdict = modules_.rules.check_send(class_of(request), request.history, place, now);
+    const SendVerdict verdict =
+        modules_.rules.check_send(class_of(request), request.history, last_location, now);
     if (verdict != SendVerdict::allowed) return give_up(request, RejectionReason::retry_not_allowed);
     if (now >= request.latest_start) return give_up(request, RejectionReason::too_late_to_retry);
-    // Rejected among fast answers: another host may well take it, and no work is added.
+    // If hosts respond fast, a rejected attempt is likely to be accepted by another host. The retry adds no
+    // work, because the rejected attempt was not executed, so it does not use the retry budget.
     const bool adds_no_work =
         !request.history.may_have_run() && modules_.load.responds_fast(objective_s(&request));
     if (!adds_no_work && !modules_.retries.take())
@@ -240,15 +243,13 @@
     }
 }
 
-// ---- completion -----------------------------------------------------------------------------------------
-
 void RequestFlow::on_response_started(const ResponseStarted& response) {
     if (Host* const host = modules_.hosts.find(response.host)) modules_.outliers.record_response(*host);
     if (Request* const request = find(response.id)) release(*request);
 }
 
-// Nobody waits for its attempts any more. Guards against hosts that work on for clients that have left; costs
-// a handshake for each connection that ends with them.
+// Cancels the attempts of a request whose client has disconnected, so that hosts do not continue work that no
+// client waits for. Each cancelled attempt closes its connection, which costs a new handshake.
 void RequestFlow::on_client_disconnected(const ClientDisconnected& client) {
     Request* const request = find(client.id);
     if (request == nullptr) return;
@@ -269,8 +270,8 @@
 }
 
 void RequestFlow::reject(Request& request, Micros retry_after, RejectionReason reason) {
-    const Micros advice = context_.settings().may_send_retry_after ? std::max(retry_after, 0us) : 0us;
-    context_.emit(RejectRequest{request.arrival.id, advice, reason});
+    const Micros client_wait = context_.settings().may_send_retry_after ? std::max(retry_after, 0us) : 0us;
+    context_.emit(RejectRequest{request.arrival.id, client_wait, reason});
     release(request);
 }
 
--- a/src/decision/request_flow.h
+++ b/src/decision/request_flow.h
@@ -1,5 +1,5 @@
-// The way of a request: arrive, quota, concurrency permit, pacing, dispatch to a host, outcome, then retry or
-// completion.
+// The processing of a request: arrival, quota, concurrency permit, warm-up limiter, dispatch to a host,
+// outcome, then retry or completion.
 #pragma once
 
 #include <string>
@@ -12,13 +12,12 @@
 
 namespace gateway::decision {
 
-// Owns the requests in hand and walks them through the modules, which keep the rest of the state. Admission
-// is in request_admission.cpp, everything after it in request_dispatch.cpp.
+// Owns the requests that are not completed and passes them through the modules, which own the rest of the
+// state. request_admission.cpp implements admission, request_dispatch.cpp everything after it.
 class RequestFlow {
   public:
     explicit RequestFlow(Modules& modules);
 
-    // ---- events of requests ----
     void on_arrived(const RequestArrived& arrival);
     void on_attempt_ended(const AttemptEnded& ended);
     void on_response_started(const ResponseStarted& response);
@@ -26,86 +25,86 @@
     void on_health_check_ended(const HealthCheckEnded& check);
     void on_timer(TimerKind kind, RequestId id);
 
-    // ---- events of quotas and permits ----
     void on_lease_grant(int from, const LeaseGrant& grant);
     void on_lease_timeout(std::uint32_t nonce);
     void on_permit_request(const PermitRequest& request, int from);
     void on_permit_grant(const PermitGrant& grant, int from);
     void on_permit_renewal(std::uint32_t customer_hash);
 
-    // ---- changes of the hosts ----
     // Sends queued requests to hosts that have capacity.
     void dispatch_queued();
-    // Drops hosts that are gone and have nothing in flight.
+    // Removes hosts that are gone and have no attempts in flight.
     void remove_departed_hosts();
 
-    // ---- upgrades ----
-    // Another process takes over: rejects what waits for a lease or a permit, and forgets lease requests.
+    // Rejects all requests that wait for a lease or a permit and drops all lease requests, because another
+    // process takes over.
     void reject_waiting();
-    // Attempts of the former process count as in flight, for as long as they are likely to take.
+    // Counts the attempts of the predecessor process as in flight for their expected duration.
     void track_inherited_attempts();
+    // Stops counting the attempts of the predecessor process as in flight.
     void end_inherited_attempts();
 
   private:
-    // Attempts in flight of a request that is completed. Until they end they count against the customer's
-    // concurrency limit.
+    // Attempts in flight of a completed request. They count against the customer's concurrency limit until
+    // they end.
     struct OrphanedAttempts {
         Customer* customer;
         int in_flight;
     };
 
-    // ---- admission ----
     Request& create(const RequestArrived& arrival);
     [[nodiscard]] Micros latest_start(const RequestArrived& arrival) const;
-    // Admits a request that quota and permits cover, or has it wait for what it lacks.
+    // Admits a request that the quota and the concurrency limit cover. Otherwise makes it wait for a lease or
+    // a permit.
     void seek_admission(Request& request);
     void await_permit(Request& request);
     void admit(Request& request);
-    // Beyond the quota: rejects with the wait, unless the settings say that excess earns.
+    // Handles a request beyond the quota: admits it as excess if the plan makes that worthwhile and hosts
+    // have spare capacity, and otherwise rejects it with `wait` as the time to retry after.
     void reject_or_admit_excess(Request& request, Micros wait, RejectionReason reason);
-    // Asks for a lease for the customer's first waiting request.
+    // Requests a lease for the customer's first waiting request.
     void acquire_lease(Customer& customer);
     void admit_from_even_slice(Request& request);
     void apply_grant(Customer& customer, const LeaseGrant& grant);
-    // Admits what the grant covers; whether that was anything.
+    // Admits the waiting requests that the grant covers. Returns whether it covers any.
     bool credit(Customer& customer, const LeaseGrant& grant);
     void admit_waiting_for_permit(Customer& customer);
     void request_permits(Customer& customer, bool renew);
     void drop_completed(std::vector<RequestId>& ids) const;
 
-    // ---- dispatch ----
-    // Sends the request, or queues it until a host has capacity or its latest start has come.
+    // Sends the request, or queues it until a host has capacity or its latest start has passed.
     void dispatch(Request& request);
-    // Sends it if a host can take it, or has the best hosts' health checked; false where neither is possible.
+    // Sends the request if a host has capacity, or starts health checks of the best hosts. Returns false if
+    // neither is possible.
     bool try_send(Request& request);
     void check_health_of_candidates(Request& request);
     void send(Request& request, Host& host);
-    // Health checks are in, or took too long: the better of the hosts that answered.
+    // Sends the request to the best candidate after its health checks have ended or timed out.
     void send_to_best_candidate(Request& request);
-    // Expected answers are missing: ejects the host, and hedges the request or cancels the attempt.
+    // Checks whether the last attempt's host is silent. If so, ejects the host and hedges the request or
+    // cancels the attempt.
     void check_for_silence(Request& request);
     void hedge_or_cancel(Request& request);
     void retry(Request& request);
 
-    // ---- outcomes and completion ----
     void record_outcome(Host& host, const AttemptEnded& ended, const Request* request);
-    // Completes without an answer: rejects where it is sure or harmless that nothing was executed, else
-    // fails.
+    // Completes the request without an answer from a host. Rejects it if it was not executed or if a second
+    // execution is harmless, and otherwise fails it.
     void give_up(Request& request, RejectionReason reason);
     void reject(Request& request, Micros retry_after, RejectionReason reason);
-    // The request is completed: gives back what it holds.
+    // Removes a completed request and returns its reserved units and permits.
     void release(Request& request);
 
     [[nodiscard]] Request* find(RequestId id);
     [[nodiscard]] const RequestClass& class_of(const Request& request) const;
-    // Latency objective in seconds; of the first class, where the request is not known.
+    // Latency objective in seconds of the request's class, or of the first class if `request` is null.
     [[nodiscard]] double objective_s(const Request* request) const;
 
     Context& context_;
     Modules& modules_;
     std::unordered_map<RequestId, Request> requests_;
     std::unordered_map<RequestId, OrphanedAttempts> orphaned_;
-    std::vector<std::pair<Customer*, int>> inherited_;  // attempts of the former process
+    std::vector<std::pair<Customer*, int>> inherited_;  // attempts in flight of the predecessor process
 };
 
 }  // namespace gateway::decision
--- a/src/decision/request_rules.cpp
+++ b/src/decision/request_rules.cpp
@@ -4,7 +4,7 @@
 
 namespace gateway::decision {
 namespace {
-// Whether a host shares its memory of idempotency keys with the earlier attempt's host.
+// Whether a host shares its store of idempotency keys with the host of the earlier attempt.
 bool in_scope(DeduplicationScope scope, const HostPlace& place, const RequestHistory::Attempt& earlier) {
     switch (scope) {
         case DeduplicationScope::all:
@@ -76,8 +76,8 @@
     return SendVerdict::allowed;
 }
 
-// A connection that comes up late delays the retry by the connect timeout: hosts have to remember the earlier
-// attempt's key still then.
+// Connecting can delay the retry by up to the connect timeout. Hosts must still store the idempotency key of
+// the earlier attempt at that time.
 SendVerdict RequestRules::check_retry(const RequestClass& request_class,
                                       const RequestHistory::Attempt& earlier, const HostPlace& place,
                                       Micros now) const {
