--- a/tests/decision/fleet.h
+++ b/tests/decision/fleet.h
@@ -1,4 +1,4 @@
-// A fleet of gateways whose messages to each other are lost, repeated, late and reordered.
+// A simulated fleet of gateways. Peer messages are lost, duplicated, delayed and reordered at random.
 #pragma once
 
 #include <random>
@@ -11,11 +11,11 @@
     Settings settings;
     std::mt19937_64 random;
     std::vector<ClockedGateway> gateways;
-    std::multimap<Micros, std::pair<int, MessageArrived>> mail;
+    std::multimap<Micros, std::pair<int, MessageArrived>> messages_in_transit;
     std::multimap<Micros, std::pair<int, SendAttempt>> answers;
     Micros now{1'000'000};
-    Micros mail_most{20'000};    // the longest time that a message takes
-    Micros answer_after{5'000};  // the time of every attempt
+    Micros max_message_delay{20'000};  // maximum delay of a message
+    Micros answer_after{5'000};        // response time of every attempt
     std::vector<std::pair<int, SendAttempt>> sent;
     Fleet(Settings common, int count, std::uint64_t seed) : settings(std::move(common)), random(seed) {
         settings.instances = count;
@@ -25,7 +25,8 @@
         }
     }
     static std::vector<HostEntry> hosts() { return {host("a"), host("b"), host("c"), host("d")}; }
-    void take(int rank, const std::vector<Action>& actions) {
+    // Delivers the actions of the gateway with that rank: sends its attempts and peer messages.
+    void execute(int rank, const std::vector<Action>& actions) {
         for (const Action& action : actions) {
             if (const auto* send = std::get_if<SendAttempt>(&action)) {
                 sent.emplace_back(rank, *send);
@@ -34,35 +35,38 @@
             const auto* message = std::get_if<SendMessage>(&action);
             if (!message || random() % 16 == 0) continue;
             for (int copies = random() % 16 == 0 ? 2 : 1; copies > 0; --copies)
-                mail.emplace(now + Micros(random() % static_cast<std::uint64_t>(mail_most.count())),
-                             std::pair{message->to, MessageArrived{rank, message->bytes}});
+                messages_in_transit.emplace(
+                    now + Micros(random() % static_cast<std::uint64_t>(max_message_delay.count())),
+                    std::pair{message->to, MessageArrived{rank, message->bytes}});
         }
     }
+    // Advances the clock in steps of up to 4 ms. Fires timers and delivers messages and answers that are due.
     void advance(Micros span) {
         for (const Micros until = now + span; now < until;) {
             now = std::min(until, now + 4ms);
             for (std::size_t rank = 0; rank < gateways.size(); ++rank) {
                 ClockedGateway& gateway = gateways[rank];
                 if (gateway.timers.empty() || gateway.timers.begin()->first > now) gateway.now = now;
-                else take(static_cast<int>(rank), gateway.advance(now - gateway.now));
+                else execute(static_cast<int>(rank), gateway.advance(now - gateway.now));
             }
-            while (!mail.empty() && mail.begin()->first <= now) {
-                const auto [to, message] = mail.begin()->second;
-                mail.erase(mail.begin());
-                take(to, gateways[static_cast<std::size_t>(to)].handle(message));
+            while (!messages_in_transit.empty() && messages_in_transit.begin()->first <= now) {
+                const auto [to, message] = messages_in_transit.begin()->second;
+                messages_in_transit.erase(messages_in_transit.begin());
+                execute(to, gateways[static_cast<std::size_t>(to)].handle(message));
             }
             while (!answers.empty() && answers.begin()->first <= now) {
                 const auto [rank, attempt] = answers.begin()->second;
                 answers.erase(answers.begin());
-                take(rank, gateways[static_cast<std::size_t>(rank)].end_attempt(
-                               attempt.id, attempt.host, Outcome::success, answer_after));
+                execute(rank, gateways[static_cast<std::size_t>(rank)].end_attempt(
+                                  attempt.id, attempt.host, Outcome::success, answer_after));
             }
         }
     }
     void request(int rank, RequestId id, double units, int set_size, Micros time_left = 500ms) {
-        take(rank,
-             gateways[static_cast<std::size_t>(rank)].request(id, units, time_left, 0, 0, "c", set_size));
+        execute(rank,
+                gateways[static_cast<std::size_t>(rank)].request(id, units, time_left, 0, 0, "c", set_size));
     }
+    // Replaces the gateway with that rank by a new process, which loses its state and its attempts in flight.
     void restart(int rank) {
         ClockedGateway& gateway = gateways[static_cast<std::size_t>(rank)];
         settings.rank = rank;
--- a/tests/decision/gateway_fixture.h
+++ b/tests/decision/gateway_fixture.h
@@ -1,5 +1,5 @@
-// One gateway of the decision module, or several, with a chosen clock: tests hand in events and look at
-// actions.
+// Fixture for tests of the decision module with a simulated clock. Tests pass events to a gateway and examine
+// the resulting actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,7 +16,8 @@
 namespace gateway::decision::test {
 using namespace std::chrono_literals;
 
-// A fleet of one gateway, one class of requests and one plan: 2 units a second, 4 at once.
+// Settings of a single gateway with one request class and one plan: a quota of 2 units per second with a
+// burst of 4.
 inline Settings single_gateway_settings() {
     Settings settings;
     settings.classes = {{"read", Idempotency::idempotent, DeduplicationScope::all, 800ms, 2s, 0us, 1, 0}};
@@ -32,6 +33,7 @@
     settings.slow_start_capacity = 0.2;
     return settings;
 }
+// Settings of the gateway with rank 0 in a fleet of two.
 inline Settings settings_of_one_of_two() {
     Settings settings = single_gateway_settings();
     settings.instances = 2;
@@ -49,15 +51,15 @@
 }
 
 // The actions of one type, in order.
-template <class Wanted>
-std::vector<Wanted> actions_of(const std::vector<Action>& actions) {
-    std::vector<Wanted> found;
+template <class Type>
+std::vector<Type> actions_of(const std::vector<Action>& actions) {
+    std::vector<Type> found;
     for (const Action& action : actions)
-        if (const auto* wanted = std::get_if<Wanted>(&action)) found.push_back(*wanted);
+        if (const auto* match = std::get_if<Type>(&action)) found.push_back(*match);
     return found;
 }
 
-// A gateway with its clock and timers; keeps all actions.
+// A gateway with its own clock and timers. Records all actions.
 struct ClockedGateway {
     Gateway decision;
     Micros now{1'000'000};
@@ -70,31 +72,33 @@
         handle(HostsChanged{true, std::move(hosts)});
     }
 
+    // Passes an event to the gateway. Returns the actions that it emits.
     std::vector<Action> handle(const Event& event) {
-        std::vector<Action> added;
-        decision.handle(now, event, added);
-        for (const Action& action : added)
+        std::vector<Action> new_actions;
+        decision.handle(now, event, new_actions);
+        for (const Action& action : new_actions)
             if (const auto* timer = std::get_if<SetTimer>(&action))
                 timers.emplace(now + timer->from_now, timer->token);
-        actions.insert(actions.end(), added.begin(), added.end());
-        return added;
+        actions.insert(actions.end(), new_actions.begin(), new_actions.end());
+        return new_actions;
     }
 
-    // Moves the clock; timers fire on its way.
+    // Advances the clock and fires the timers that are due. Returns the emitted actions.
     std::vector<Action> advance(Micros span) {
-        std::vector<Action> added;
+        std::vector<Action> new_actions;
         const Micros until = now + span;
         while (!timers.empty() && timers.begin()->first <= until) {
             now = timers.begin()->first;
             const std::uint64_t token = timers.begin()->second;
             timers.erase(timers.begin());
-            const std::vector<Action> more = handle(TimerFired{token});
-            added.insert(added.end(), more.begin(), more.end());
+            const std::vector<Action> emitted = handle(TimerFired{token});
+            new_actions.insert(new_actions.end(), emitted.begin(), emitted.end());
         }
         now = until;
-        return added;
+        return new_actions;
     }
 
+    // Passes the arrival of a request to the gateway.
     std::vector<Action> request(RequestId id, double units = 1, Micros time_left = 2s, int plan = 0,
                                 int request_class = 0, const std::string& customer = "c", int set_size = 1) {
         RequestArrived arrival;
@@ -108,6 +112,7 @@
         return handle(arrival);
     }
 
+    // Passes the end of an attempt to the gateway. A success completes the request.
     std::vector<Action> end_attempt(RequestId id, const std::string& host, Outcome outcome, Micros elapsed,
                                     int attempt = 0, bool request_completed = false) {
         AttemptEnded ended;
@@ -121,13 +126,13 @@
     }
 };
 
-// The home's grant for the first lease request of a message.
-inline std::vector<Action> grant_lease(ClockedGateway& gateway, const SendMessage& asked, double units) {
-    const auto nonce = std::get<LeaseRequest>(decode(asked.bytes)->at(0)).nonce;
-    return gateway.handle(MessageArrived{asked.to, encode({LeaseGrant{nonce, units, 0, 0, 1}})});
+// Passes a grant for the first lease request in `request` to the gateway.
+inline std::vector<Action> grant_lease(ClockedGateway& gateway, const SendMessage& request, double units) {
+    const auto nonce = std::get<LeaseRequest>(decode(request.bytes)->at(0)).nonce;
+    return gateway.handle(MessageArrived{request.to, encode({LeaseGrant{nonce, units, 0, 0, 1}})});
 }
 
-// Answers so slow that the hosts count as overloaded.
+// Ends attempts with answers that are slow enough for the hosts to count as overloaded.
 inline void overload_hosts(ClockedGateway& gateway) {
     for (RequestId id = 1000; id < 1030; ++id) {
         const auto sent = actions_of<SendAttempt>(gateway.request(id, 0, 2s, -1, 0, "rateless"));
--- a/tests/decision/invalid_input_test.cpp
+++ b/tests/decision/invalid_input_test.cpp
@@ -1,4 +1,4 @@
-// Settings and events that cannot be used.
+// Tests of invalid settings and events.
 #include "gateway_fixture.h"
 
 namespace gateway::decision::test {
@@ -12,7 +12,7 @@
     EXPECT_THROW(Gateway(settings, 1, 0us), std::invalid_argument);
 }
 
-TEST(Events, UnknownEventsChangeNothing) {
+TEST(Events, EventsForUnknownObjectsAreIgnored) {
     ClockedGateway gateway(single_gateway_settings());
     EXPECT_TRUE(gateway.handle(ClientDisconnected{99}).empty());
     EXPECT_TRUE(gateway.end_attempt(99, "nowhere", Outcome::timeout, 1s).empty());
@@ -22,7 +22,7 @@
     EXPECT_TRUE(gateway.handle(HealthCheckEnded{}).empty());
 }
 
-TEST(Events, LateAndRepeatedEventsChangeNothing) {
+TEST(Events, LateAndRepeatedEventsAreIgnored) {
     ClockedGateway gateway(single_gateway_settings());
     const auto sent = actions_of<SendAttempt>(gateway.request(1));
     ASSERT_EQ(sent.size(), 1u);
@@ -33,20 +33,22 @@
         for (const Action& action : gateway.handle(TimerFired{token}))
             EXPECT_TRUE(std::holds_alternative<SetTimer>(action));
     }
+    // A request without time left is rejected immediately.
     EXPECT_TRUE(gateway.request(2, 1, 0us).size() == 1 &&
-                actions_of<RejectRequest>(gateway.actions).size() == 1);  // no time left: answered at once
+                actions_of<RejectRequest>(gateway.actions).size() == 1);
 }
 
-TEST(Events, InvalidMessagesAndHealthChecksChangeNothing) {
+TEST(Events, InvalidMessagesAndHealthChecksAreIgnored) {
     Settings settings = settings_of_one_of_two();
     ClockedGateway gateway(settings);
-    for (const LeaseRequest& ask :
+    // An unknown plan, an empty set, and a set larger than the fleet.
+    for (const LeaseRequest& request :
          {LeaseRequest{1, 2, 9, 2, 0, 1, 0, 0}, LeaseRequest{1, 2, 0, 0, 0, 1, 0, 0},
-          LeaseRequest{1, 2, 0, 3, 0, 1, 0, 0}})  // no such plan, an empty set, one above the fleet
-        EXPECT_TRUE(gateway.handle(MessageArrived{1, encode({ask})}).empty());
-    EXPECT_TRUE(gateway.handle(MessageArrived{2, encode({LeaseRequest{}})}).empty());  // no such rank
-    EXPECT_TRUE(gateway.handle(MessageArrived{1, encode({LeaseGrant{77, 50, 50, 0, 1}})})
-                    .empty());  // never asked for
+          LeaseRequest{1, 2, 0, 3, 0, 1, 0, 0}})
+        EXPECT_TRUE(gateway.handle(MessageArrived{1, encode({request})}).empty());
+    EXPECT_TRUE(gateway.handle(MessageArrived{2, encode({LeaseRequest{}})}).empty());  // unknown rank
+    // A grant that does not answer any lease request.
+    EXPECT_TRUE(gateway.handle(MessageArrived{1, encode({LeaseGrant{77, 50, 50, 0, 1}})}).empty());
     for (const PermitRequest& request :
          {PermitRequest{1, 2, 9, 2, 0, 1}, PermitRequest{1, 2, 0, 0, 0, 1}, PermitRequest{1, 2, 0, 3, 0, 1}})
         EXPECT_TRUE(gateway.handle(MessageArrived{1, encode({request})}).empty());
@@ -55,7 +57,7 @@
     EXPECT_TRUE(gateway.handle(HealthCheckEnded{"a", Outcome::timeout, 250ms, {}}).empty());
 }
 
-TEST(Settings, ZeroFiguresWork) {
+TEST(Settings, ZeroRatesBurstsAndWeightsAreValid) {
     Settings settings;
     settings.classes = {{"read", Idempotency::idempotent, DeduplicationScope::all, 800ms, 2s, 0us, 0, 0}};
     settings.plans = {{"none", 0, 0, 0, 0, 0, 0, 0, 0}, {"no burst", 1, 0, 0, 1, 0, 1, 0, 0}};
--- a/tests/decision/lease_test.cpp
+++ b/tests/decision/lease_test.cpp
@@ -1,57 +1,60 @@
-// Quota leases: lease requests, grants, and a home that is silent.
+// Tests of quota leases: lease requests, grants, and silent lease holders.
 #include "fleet.h"
 #include "gateway_fixture.h"
 
 namespace gateway::decision::test {
 
-// Found on the grown sites: an even slice below one request locked customers out, or let each gateway send
-// one.
-TEST(Lease, TheQuotaHoldsAndNobodyIsLockedOutWithHundredsOfGateways) {
+// Guards against even slices that are smaller than one request. In large fleets they blocked customers
+// completely, or let each gateway forward one request beyond the quota.
+TEST(Lease, QuotaIsMetAndNotExceededByFleetsOfAnySize) {
     for (const int count : {2, 12, 300}) {
         Settings settings = settings_of_one_of_two();
         settings.plans[0] = {"plan", 10, 20, 0, 1, 0, 1, 0, 0};
         Fleet fleet(settings, count, 7);
-        const auto run = [&](Micros every, Micros span) {
-            std::map<RequestId, int> in;
+        const auto count_forwarded = [&](Micros interval, Micros span) {
+            std::map<RequestId, int> forwarded;
             static RequestId id = 0;
-            for (Micros passed{0}; passed < span; passed += every) {
-                fleet.advance(every);
+            for (Micros passed{0}; passed < span; passed += interval) {
+                fleet.advance(interval);
                 fleet.request(static_cast<int>(fleet.random() % static_cast<std::uint64_t>(count)), ++id, 1,
                               count);
             }
-            for (const auto& [rank, attempt] : std::exchange(fleet.sent, {})) in[attempt.id] = 1;
-            return static_cast<double>(in.size());
+            for (const auto& [rank, attempt] : std::exchange(fleet.sent, {})) forwarded[attempt.id] = 1;
+            return static_cast<double>(forwarded.size());
         };
-        EXPECT_GT(run(200ms, 20s), 90) << count;  // 5 a second of 10: nearly all 100 pass
-        const double heavy = run(20ms, 20s);      // 50 a second
-        EXPECT_GT(heavy, 150) << count;
-        EXPECT_LT(heavy, 290) << count;  // 220, and what lost asks cost: a successor gives in the meantime
+        // 5 requests per second at a quota of 10: nearly all 100 are forwarded.
+        EXPECT_GT(count_forwarded(200ms, 20s), 90) << count;
+        const double overloaded = count_forwarded(20ms, 20s);  // 50 requests per second
+        EXPECT_GT(overloaded, 150) << count;
+        // The quota allows 220. Lost lease requests add to that, because a fallback holder grants leases
+        // meanwhile.
+        EXPECT_LT(overloaded, 290) << count;
     }
 }
 
-TEST(Lease, ADeadHomeIsReplacedByItsSuccessor) {
+TEST(Lease, FailedLeaseHolderIsReplacedByAFallbackHolder) {
     Settings settings = settings_of_one_of_two();
     settings.plans[0] = {"plan", 10, 20, 0, 1, 0, 1, 0, 0};
     settings.instances = 9;
     settings.rank = 8;
     int served = 0;
     ClockedGateway gateway(settings);
-    for (RequestId id = 1; id <= 40; ++id) {  // the home is silent; whoever else is asked gives
-        std::vector<Action> out = gateway.request(id, 1, 2s, 0, 0, "c", 8);
+    for (RequestId id = 1; id <= 40; ++id) {  // the lease holder is silent, the fallback holders grant
+        std::vector<Action> emitted = gateway.request(id, 1, 2s, 0, 0, "c", 8);
         for (Micros passed{0}; passed < 500ms; passed += 10ms) {
-            const auto more = gateway.advance(10ms);
-            out.insert(out.end(), more.begin(), more.end());
-            const auto mail = actions_of<SendMessage>(std::exchange(out, {}));
-            served += static_cast<int>(actions_of<SendAttempt>(more).size());
-            for (const SendMessage& message : mail) {
-                const auto asks = decode(message.bytes);
-                ASSERT_TRUE(asks);
-                const LeaseRequest& ask = std::get<LeaseRequest>(asks->at(0));
-                if (message.to == static_cast<int>(ask.customer % 8)) continue;
-                const auto got = gateway.handle(
-                    MessageArrived{message.to, encode({LeaseGrant{ask.nonce, ask.required_units, 0, 0, 1}})});
-                served += static_cast<int>(actions_of<SendAttempt>(got).size());
-                for (const SendAttempt& attempt : actions_of<SendAttempt>(got))
+            const auto new_actions = gateway.advance(10ms);
+            emitted.insert(emitted.end(), new_actions.begin(), new_actions.end());
+            const auto sent_messages = actions_of<SendMessage>(std::exchange(emitted, {}));
+            served += static_cast<int>(actions_of<SendAttempt>(new_actions).size());
+            for (const SendMessage& message : sent_messages) {
+                const auto peer_messages = decode(message.bytes);
+                ASSERT_TRUE(peer_messages);
+                const LeaseRequest& request = std::get<LeaseRequest>(peer_messages->at(0));
+                if (message.to == static_cast<int>(request.customer % 8)) continue;
+                const auto after_grant = gateway.handle(MessageArrived{
+                    message.to, encode({LeaseGrant{request.nonce, request.required_units, 0, 0, 1}})});
+                served += static_cast<int>(actions_of<SendAttempt>(after_grant).size());
+                for (const SendAttempt& attempt : actions_of<SendAttempt>(after_grant))
                     gateway.end_attempt(attempt.id, attempt.host, Outcome::success, 5ms);
             }
         }
@@ -59,52 +62,58 @@
     EXPECT_EQ(served, 40);
 }
 
-// Found on page5745: one lost datagram with two asks made a home that was heard all along count as silent,
-// and its successor gave the quota a second time.
-TEST(Lease, AHomeThatIsHeardIsNotReplacedForLostRequests) {
+// Guards against a lease holder that counts as silent although it sends messages: after the loss of one
+// datagram with two lease requests, a fallback holder granted the quota a second time.
+TEST(Lease, LeaseHolderThatSendsMessagesIsNotReplacedAfterLostRequests) {
     Settings settings = settings_of_one_of_two();
     settings.instances = 3;
-    const std::uint32_t at = name_hash("c") % 3;
-    settings.rank = static_cast<int>((at + 1) % 3);
-    std::string other = "d";
-    while (name_hash(other) % 3 != at) other += 'd';
-    for (const bool heard : {true, false}) {
+    const std::uint32_t lease_holder = name_hash("c") % 3;
+    settings.rank = static_cast<int>((lease_holder + 1) % 3);
+    std::string other_customer = "d";
+    while (name_hash(other_customer) % 3 != lease_holder) other_customer += 'd';
+    for (const bool message_received : {true, false}) {
         ClockedGateway gateway(settings);
         gateway.request(1, 1, 2s, 0, 0, "c", 3);
-        gateway.request(2, 1, 2s, 0, 0, other, 3);
+        gateway.request(2, 1, 2s, 0, 0, other_customer, 3);
         gateway.advance(100ms);
-        // Word on something else: the peer is there, though neither ask came through.
-        if (heard) gateway.handle(MessageArrived{static_cast<int>(at), encode({LeaseGrant{0, 0, 0, 0, 1}})});
+        // An unrelated message proves that the peer is alive, although both lease requests were lost.
+        if (message_received)
+            gateway.handle(
+                MessageArrived{static_cast<int>(lease_holder), encode({LeaseGrant{0, 0, 0, 0, 1}})});
         gateway.advance(100ms);
-        int elsewhere = 0;
+        int sent_to_fallback = 0;
         for (const SendMessage& message : actions_of<SendMessage>(gateway.actions))
-            elsewhere += message.to != static_cast<int>(at);
-        EXPECT_EQ(elsewhere > 0, !heard);
+            sent_to_fallback += message.to != static_cast<int>(lease_holder);
+        EXPECT_EQ(sent_to_fallback > 0, !message_received);
     }
 }
 
-// A gateway that stood still finds its answer behind its own overdue timer: it must not blame the home.
-TEST(Lease, AStallOfTheGatewayItselfDoesNotMakeTheHomeSilent) {
+// Guards against a false timeout after a stall of the gateway: the overdue timer fires before the answer that
+// is already queued is handled.
+TEST(Lease, StallOfTheGatewayDoesNotMakeTheLeaseHolderSilent) {
     Settings settings = settings_of_one_of_two();
-    settings.rank = static_cast<int>((name_hash("c") + 1) % 2);  // the other one is the home
+    settings.rank = static_cast<int>((name_hash("c") + 1) % 2);  // the other gateway is the lease holder
     ClockedGateway gateway(settings);
-    const auto asked = actions_of<SendMessage>(gateway.request(1, 1, 5s, 0, 0, "c", 2));
-    ASSERT_EQ(asked.size(), 1u);
-    const auto nonce = std::get<LeaseRequest>(decode(asked[0].bytes)->at(0)).nonce;
+    const auto lease_requests = actions_of<SendMessage>(gateway.request(1, 1, 5s, 0, 0, "c", 2));
+    ASSERT_EQ(lease_requests.size(), 1u);
+    const auto nonce = std::get<LeaseRequest>(decode(lease_requests[0].bytes)->at(0)).nonce;
     const auto timers = std::exchange(gateway.timers, {});
     gateway.now += 600ms;
     for (const auto& [at, token] : timers)
         if (at <= gateway.now) {
             EXPECT_TRUE(actions_of<SendMessage>(gateway.handle(TimerFired{token})).empty());
         }
-    const auto out = gateway.handle(MessageArrived{asked[0].to, encode({LeaseGrant{nonce, 1, 0, 0, 1}})});
-    EXPECT_EQ(actions_of<SendAttempt>(out).size(), 1u);
+    const auto emitted =
+        gateway.handle(MessageArrived{lease_requests[0].to, encode({LeaseGrant{nonce, 1, 0, 0, 1}})});
+    EXPECT_EQ(actions_of<SendAttempt>(emitted).size(), 1u);
 }
 
-// Found on page5745: requests whose ask was lost stood until their client was about to give up.
-TEST(Lease, ARequestThatWaitsForALeaseIsRejectedOnceItIsTooLateToSendIt) {
+// Guards against late rejections: requests whose lease request was lost waited until shortly before their
+// client gave up.
+TEST(Lease, RequestWaitingForALeaseIsRejectedAtItsLatestStart) {
     Settings settings = settings_of_one_of_two();
-    settings.rank = static_cast<int>((name_hash("c") + 1) % 2);  // the other one is the home, and silent
+    // The other gateway is the lease holder. It is silent.
+    settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     settings.classes[0].latency_objective = 250ms;
     ClockedGateway gateway(settings);
     EXPECT_EQ(actions_of<SendMessage>(gateway.request(1, 1, 2s, 0, 0, "c", 2)).size(), 1u);
@@ -112,225 +121,231 @@
     EXPECT_EQ(actions_of<RejectRequest>(gateway.advance(11ms)).size(), 1u);
 }
 
-TEST(Lease, ARepeatedGrantCountsOnce) {
+TEST(Lease, DuplicateGrantIsCreditedOnce) {
     Settings settings = settings_of_one_of_two();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     ClockedGateway gateway(settings);
-    const auto asked = actions_of<SendMessage>(gateway.request(1, 1, 5s, 0, 0, "c", 2));
-    ASSERT_EQ(asked.size(), 1u);
-    const std::string grant =
-        encode({LeaseGrant{std::get<LeaseRequest>(decode(asked[0].bytes)->at(0)).nonce, 1, 0, 0, 1}});
-    EXPECT_EQ(actions_of<SendAttempt>(gateway.handle(MessageArrived{asked[0].to, grant})).size(), 1u);
-    EXPECT_TRUE(gateway.handle(MessageArrived{asked[0].to, grant}).empty());
-    EXPECT_TRUE(actions_of<SendAttempt>(gateway.request(2, 1, 5s, 0, 0, "c", 2))
-                    .empty());  // nothing is left here: it asks again
+    const auto lease_requests = actions_of<SendMessage>(gateway.request(1, 1, 5s, 0, 0, "c", 2));
+    ASSERT_EQ(lease_requests.size(), 1u);
+    const std::string grant = encode(
+        {LeaseGrant{std::get<LeaseRequest>(decode(lease_requests[0].bytes)->at(0)).nonce, 1, 0, 0, 1}});
+    EXPECT_EQ(actions_of<SendAttempt>(gateway.handle(MessageArrived{lease_requests[0].to, grant})).size(),
+              1u);
+    EXPECT_TRUE(gateway.handle(MessageArrived{lease_requests[0].to, grant}).empty());
+    // No tokens are left, so the gateway sends a lease request.
+    EXPECT_TRUE(actions_of<SendAttempt>(gateway.request(2, 1, 5s, 0, 0, "c", 2)).empty());
 }
 
-// Found on page5745: a third of the parts given came after their ask counted as lost, and went nowhere.
-TEST(Lease, AGrantThatComesAfterItsRequestCountedAsLostIsUsed) {
+// Guards against granted units that are wasted: a third of the grants arrived after their lease request
+// counted as lost, and were ignored.
+TEST(Lease, GrantForARequestThatCountsAsLostIsCredited) {
     Settings settings = settings_of_one_of_two();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     ClockedGateway gateway(settings);
-    std::vector<SendMessage> asked = actions_of<SendMessage>(gateway.request(1, 1, 5s, 0, 0, "c", 2));
+    std::vector<SendMessage> lease_requests =
+        actions_of<SendMessage>(gateway.request(1, 1, 5s, 0, 0, "c", 2));
     for (const SendMessage& message : actions_of<SendMessage>(gateway.advance(200ms)))
-        asked.push_back(message);
-    ASSERT_EQ(asked.size(), 2u);
+        lease_requests.push_back(message);
+    ASSERT_EQ(lease_requests.size(), 2u);
     const auto nonce = [&](std::size_t i) {
-        return std::get<LeaseRequest>(decode(asked[i].bytes)->at(0)).nonce;
+        return std::get<LeaseRequest>(decode(lease_requests[i].bytes)->at(0)).nonce;
     };
     const auto answer = [&](std::size_t i, double units, std::uint32_t retry_after_ms) {
-        return gateway.handle(
-            MessageArrived{asked[i].to, encode({LeaseGrant{nonce(i), units, 0, retry_after_ms, 1}})});
+        return gateway.handle(MessageArrived{lease_requests[i].to,
+                                             encode({LeaseGrant{nonce(i), units, 0, retry_after_ms, 1}})});
     };
-    const auto in = actions_of<SendAttempt>(answer(0, 1, 0));
-    ASSERT_EQ(in.size(), 1u);
-    gateway.end_attempt(1, in[0].host, Outcome::success, 20ms);
-    EXPECT_TRUE(actions_of<SendAttempt>(answer(0, 1, 0)).empty());  // once only
+    const auto sent = actions_of<SendAttempt>(answer(0, 1, 0));
+    ASSERT_EQ(sent.size(), 1u);
+    gateway.end_attempt(1, sent[0].host, Outcome::success, 20ms);
+    EXPECT_TRUE(actions_of<SendAttempt>(answer(0, 1, 0)).empty());  // a duplicate is ignored
     answer(1, 1, 0);
     EXPECT_EQ(actions_of<SendAttempt>(gateway.request(2, 1, 5s, 0, 0, "c", 2)).size(), 1u);
 }
 
-// Found on page5745: all gateways that were turned away came again for the same units, and half of the asks
-// were in vain.
-TEST(Lease, TheHomeTellsEachRejectedGatewayATurnOfItsOwn) {
+// Guards against rejected gateways that all retry at the same time for the same units: half of the lease
+// requests were unsuccessful.
+TEST(Lease, LeaseHolderSchedulesRetriesOfRejectedGatewaysOneAfterAnother) {
     Settings settings = settings_of_one_of_two();
     settings.instances = 3;
     settings.rank = static_cast<int>(name_hash("c") % 3);
-    ClockedGateway gateway(settings);  // 2 units a second, burst 4, of which a fresh home has half
-    const auto ask = [&](int from, double need) {
-        const LeaseRequest asked{7, name_hash("c"), 0, 3, 0, need, 0, 0};
-        const auto mail = actions_of<SendMessage>(gateway.handle(MessageArrived{from, encode({asked})}));
-        EXPECT_EQ(mail.size(), 1u);
-        return std::get<LeaseGrant>(decode(mail.at(0).bytes)->at(0));
+    ClockedGateway gateway(settings);  // 2 units per second; a new ledger has half of the burst of 4
+    const auto request_lease = [&](int from, double units) {
+        const LeaseRequest request{7, name_hash("c"), 0, 3, 0, units, 0, 0};
+        const auto replies = actions_of<SendMessage>(gateway.handle(MessageArrived{from, encode({request})}));
+        EXPECT_EQ(replies.size(), 1u);
+        return std::get<LeaseGrant>(decode(replies.at(0).bytes)->at(0));
     };
-    const int one = (settings.rank + 1) % 3, other = (settings.rank + 2) % 3;
-    EXPECT_EQ(ask(one, 2).units, 2);
-    EXPECT_NEAR(ask(one, 1).retry_after_ms, 500, 2);
-    EXPECT_NEAR(ask(other, 1).retry_after_ms, 1000, 2);
+    const int first_peer = (settings.rank + 1) % 3, second_peer = (settings.rank + 2) % 3;
+    EXPECT_EQ(request_lease(first_peer, 2).units, 2);
+    EXPECT_NEAR(request_lease(first_peer, 1).retry_after_ms, 500, 2);
+    EXPECT_NEAR(request_lease(second_peer, 1).retry_after_ms, 1000, 2);
     gateway.advance(501ms);
-    EXPECT_EQ(ask(one, 1).units, 1);
+    EXPECT_EQ(request_lease(first_peer, 1).units, 1);
     gateway.advance(500ms);
-    EXPECT_EQ(ask(other, 1).units, 1);
+    EXPECT_EQ(request_lease(second_peer, 1).units, 1);
 }
 
-// Found on page5397: half of the requests waited 8 ms or more for an ask of their own before they were sent.
-TEST(Lease, TheHomeIsAskedAheadSoThatTheNextRequestNeedNotWait) {
+// Guards against avoidable waits: without prefetching, half of the requests waited 8 ms or more for a lease
+// request of their own before they were sent.
+TEST(Lease, PrefetchedLeaseCoversTheNextRequestWithoutAWait) {
     Settings settings = settings_of_one_of_two();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     ClockedGateway gateway(settings);
-    auto asked = actions_of<SendMessage>(gateway.request(1, 1, 2s, 0, 0, "c", 2));
-    ASSERT_EQ(asked.size(), 1u);
-    EXPECT_EQ(actions_of<SendAttempt>(grant_lease(gateway, asked[0], 1)).size(), 1u);
-    asked = actions_of<SendMessage>(gateway.advance(120ms));
-    ASSERT_EQ(asked.size(), 1u);
-    const LeaseRequest ahead = std::get<LeaseRequest>(decode(asked[0].bytes)->at(0));
-    EXPECT_EQ(ahead.required_units, 0);
-    EXPECT_GE(ahead.prefetch_units, 1);
-    // One that comes before the grant leaves with it, the next has its units here.
+    auto lease_requests = actions_of<SendMessage>(gateway.request(1, 1, 2s, 0, 0, "c", 2));
+    ASSERT_EQ(lease_requests.size(), 1u);
+    EXPECT_EQ(actions_of<SendAttempt>(grant_lease(gateway, lease_requests[0], 1)).size(), 1u);
+    lease_requests = actions_of<SendMessage>(gateway.advance(120ms));
+    ASSERT_EQ(lease_requests.size(), 1u);
+    const LeaseRequest prefetch = std::get<LeaseRequest>(decode(lease_requests[0].bytes)->at(0));
+    EXPECT_EQ(prefetch.required_units, 0);
+    EXPECT_GE(prefetch.prefetch_units, 1);
+    // A request that arrives before the grant is sent with the grant. The tokens cover the request after it.
     EXPECT_TRUE(actions_of<SendAttempt>(gateway.request(2, 1, 2s, 0, 0, "c", 2)).empty());
-    EXPECT_EQ(actions_of<SendAttempt>(grant_lease(gateway, asked[0], 2)).size(), 1u);
+    EXPECT_EQ(actions_of<SendAttempt>(grant_lease(gateway, lease_requests[0], 2)).size(), 1u);
     EXPECT_EQ(actions_of<SendAttempt>(gateway.request(3, 1, 2s, 0, 0, "c", 2)).size(), 1u);
 }
 
-// Found on calm days of 100 gateways: three requests' worth lay at each gateway that a customer had ever
-// used, several bursts in all, and small customers got nothing.
-TEST(Lease, AGatewaySetKeepsNoMoreAheadThanTheBurst) {
+// Guards against too many prefetched units: in a fleet of 100 gateways, each gateway that a customer had used
+// held the units of three requests. That was several bursts in total, and customers with small quotas were
+// not served.
+TEST(Lease, PrefetchedUnitsOfASetDoNotExceedTheBurst) {
     Settings settings = settings_of_one_of_two();
     settings.instances = 100;
-    const auto ahead_in_set = [&](int set) {
-        double most = 0;
-        Settings here = settings;
-        here.rank = static_cast<int>((name_hash("c") + 1) % static_cast<std::uint32_t>(set));
-        ClockedGateway gateway(here);
-        const auto asked = actions_of<SendMessage>(gateway.request(1, 1, 2s, 0, 0, "c", set));
-        EXPECT_EQ(asked.size(), 1u);
-        if (asked.empty()) return most;
-        EXPECT_EQ(actions_of<SendAttempt>(grant_lease(gateway, asked[0], 1)).size(), 1u);
+    const auto prefetched_units = [&](int set) {
+        double max_units = 0;
+        Settings borrower_settings = settings;
+        borrower_settings.rank = static_cast<int>((name_hash("c") + 1) % static_cast<std::uint32_t>(set));
+        ClockedGateway gateway(borrower_settings);
+        const auto lease_requests = actions_of<SendMessage>(gateway.request(1, 1, 2s, 0, 0, "c", set));
+        EXPECT_EQ(lease_requests.size(), 1u);
+        if (lease_requests.empty()) return max_units;
+        EXPECT_EQ(actions_of<SendAttempt>(grant_lease(gateway, lease_requests[0], 1)).size(), 1u);
         for (const SendMessage& message : actions_of<SendMessage>(gateway.advance(1s)))
-            most = std::max(most, std::get<LeaseRequest>(decode(message.bytes)->at(0)).prefetch_units);
-        return most;
+            max_units =
+                std::max(max_units, std::get<LeaseRequest>(decode(message.bytes)->at(0)).prefetch_units);
+        return max_units;
     };
     const double burst = settings.plans[0].burst;  // 4
-    EXPECT_GT(ahead_in_set(2), 0);
+    EXPECT_GT(prefetched_units(2), 0);
     for (const int set : {2, 3, 4})
-        EXPECT_LE((ahead_in_set(set) - 1.0 / 16) * set, burst) << set;  // rounded up
-    for (const int set : {5, 50, 100}) EXPECT_EQ(ahead_in_set(set), 0) << set;
+        EXPECT_LE((prefetched_units(set) - 1.0 / 16) * set, burst) << set;  // the encoding rounds up
+    for (const int set : {5, 50, 100}) EXPECT_EQ(prefetched_units(set), 0) << set;
 }
 
-// Found on page5745: asks that no request waited for filled the outbox, and those that one did wait for lay
-// in it.
-TEST(Lease, WhatNoRequestWaitsForGoesAlongWithWhatOneDoes) {
+// Guards against prefetches that fill the outbox and delay the lease requests that client requests wait for.
+TEST(Lease, PrefetchIsSentInTheSameDatagramAsAnUrgentLeaseRequest) {
     Settings settings = settings_of_one_of_two();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
-    std::string other = "d";
-    while (name_hash(other) % 2 != name_hash("c") % 2) other += 'e';
+    std::string other_customer = "d";
+    while (name_hash(other_customer) % 2 != name_hash("c") % 2) other_customer += 'e';
     ClockedGateway gateway(settings);
-    const auto asked = actions_of<SendMessage>(gateway.request(1, 1, 2s, 0, 0, "c", 2));
-    ASSERT_EQ(asked.size(), 1u);
-    EXPECT_TRUE(actions_of<SendMessage>(grant_lease(gateway, asked[0], 1)).empty());
-    const auto urgent = actions_of<SendMessage>(gateway.request(2, 1, 2s, 0, 0, other, 2));
+    const auto lease_requests = actions_of<SendMessage>(gateway.request(1, 1, 2s, 0, 0, "c", 2));
+    ASSERT_EQ(lease_requests.size(), 1u);
+    EXPECT_TRUE(actions_of<SendMessage>(grant_lease(gateway, lease_requests[0], 1)).empty());
+    const auto urgent = actions_of<SendMessage>(gateway.request(2, 1, 2s, 0, 0, other_customer, 2));
     ASSERT_EQ(urgent.size(), 1u);
     EXPECT_EQ(decode(urgent[0].bytes)->size(), 2u);
 }
 
-// A request does not wait for a grant asked ahead: its own ask goes out, and the line moves with either.
-// Found on join+vast: a home that many ask paced its grants by how full its own intake was, and those who
-// asked took its silence for its end.
-TEST(Lease, ABusyHomeAnswersEachGatewayInItsTurn) {
+// Guards against a busy lease holder that counts as silent: it limited the rate of its grants by its own
+// receive rate, so that the answers came too late for the requesting gateways. A request does not wait for a
+// prefetched grant: its own lease request is sent, and either grant admits waiting requests.
+TEST(Lease, BusyLeaseHolderAnswersEachGatewayInTime) {
     Settings settings = settings_of_one_of_two();
     settings.instances = 100;
     settings.plans[0].rate = settings.plans[0].burst = 1000;
     settings.messages_per_s = 40;
     settings.rank = static_cast<int>(name_hash("c") % 9);
     ClockedGateway gateway(settings);
-    std::map<std::uint32_t, Micros> asked;
+    std::map<std::uint32_t, Micros> requested_at;
     int in_time = 0;
-    for (std::uint32_t nonce = 1; nonce <= 200; ++nonce) {  // eight gateways, five times a second each
+    // Eight gateways send five requests per second each.
+    for (std::uint32_t nonce = 1; nonce <= 200; ++nonce) {
         const int peer = static_cast<int>(nonce % 8), from = peer < settings.rank ? peer : peer + 1;
-        asked[nonce] = gateway.now;
-        auto out = gateway.handle(
+        requested_at[nonce] = gateway.now;
+        auto emitted = gateway.handle(
             MessageArrived{from, encode({LeaseRequest{nonce, name_hash("c"), 0, 9, 0, 1, 0, 0}})});
-        const auto later = gateway.advance(25ms);
-        out.insert(out.end(), later.begin(), later.end());
-        for (const SendMessage& message : actions_of<SendMessage>(out)) {
+        const auto after_delay = gateway.advance(25ms);
+        emitted.insert(emitted.end(), after_delay.begin(), after_delay.end());
+        for (const SendMessage& message : actions_of<SendMessage>(emitted)) {
             const auto granted = decode(message.bytes);
             for (const PeerMessage& peer_message : *granted)
-                in_time += gateway.now - asked[std::get<LeaseGrant>(peer_message).nonce] <= 300ms;
+                in_time += gateway.now - requested_at[std::get<LeaseGrant>(peer_message).nonce] <= 300ms;
         }
     }
     EXPECT_GT(in_time, 190);
 }
 
-// Found on zone+vast: a request that waited for its turn in the outbox counted as lost, was repeated, and a
-// successor gave what the home gave as well.
-TEST(Lease, ARequestThatHasNotLeftYetIsNotLost) {
+// Guards against a lease request that counts as lost while it waits in the outbox: it was repeated, and a
+// fallback holder granted the same units as the lease holder.
+TEST(Lease, RequestInTheOutboxDoesNotCountAsLost) {
     Settings settings = settings_of_one_of_two();
     settings.instances = 100;
     settings.rank = 50;
     settings.messages_per_s = 40;
     settings.plans[0].rate = settings.plans[0].burst = 1000;
     ClockedGateway gateway(settings);
-    const auto talk = [&] {  // twenty peers talk, more than this gateway takes in
+    const auto receive_from_peers = [&] {  // twenty peers send more messages than this gateway can receive
         for (std::uint32_t i = 0; i < 20; ++i) {
             gateway.handle(MessageArrived{60 + static_cast<int>(i), encode({LeaseGrant{1, 0, 0, 0, 1}})});
             gateway.advance(20ms);
         }
     };
-    for (int i = 0; i < 6; ++i) talk();
-    const std::uint32_t home = name_hash("c") % 8;
+    for (int i = 0; i < 6; ++i) receive_from_peers();
+    const std::uint32_t lease_holder = name_hash("c") % 8;
     RequestId id = 0;
     std::vector<SendMessage> sent;
     std::string name = "c";
     while (id < 4) {
         name += 'c';
-        if (name_hash(name) % 8 != home) continue;
+        if (name_hash(name) % 8 != lease_holder) continue;
         for (const SendMessage& message :
              actions_of<SendMessage>(gateway.request(++id, 1, 2s, 0, 0, name, 8))) {
-            EXPECT_EQ(message.to, static_cast<int>(home));
+            EXPECT_EQ(message.to, static_cast<int>(lease_holder));
             grant_lease(gateway, message, 1);
             sent.push_back(message);
         }
     }
-    EXPECT_LT(sent.size(), 4u) << "nothing waits in the outbox: the test shows nothing";
+    EXPECT_LT(sent.size(), 4u) << "no lease request waits in the outbox, so the test proves nothing";
     for (const SendMessage& message : actions_of<SendMessage>(gateway.advance(450ms)))
-        EXPECT_EQ(message.to, static_cast<int>(home));
+        EXPECT_EQ(message.to, static_cast<int>(lease_holder));
 }
 
-TEST(Lease, LittleAskedAheadRejectsNobody) {
+TEST(Lease, TooSmallPrefetchedGrantDoesNotRejectAWaitingRequest) {
     Settings settings = settings_of_one_of_two();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     ClockedGateway gateway(settings);
-    const auto asked = actions_of<SendMessage>(gateway.request(1, 1, 2s, 0, 0, "c", 2));
-    ASSERT_EQ(asked.size(), 1u);
-    grant_lease(gateway, asked[0], 1);
-    const auto ahead = actions_of<SendMessage>(gateway.advance(120ms));
-    ASSERT_EQ(ahead.size(), 1u);
-    const auto own = actions_of<SendMessage>(gateway.request(2, 1, 2s, 0, 0, "c", 2));
-    ASSERT_EQ(own.size(), 1u);
-    EXPECT_NEAR(std::get<LeaseRequest>(decode(own[0].bytes)->at(0)).required_units, 1, 1e-9);
-    const auto little = grant_lease(gateway, ahead[0], 0.25);
-    EXPECT_TRUE(actions_of<RejectRequest>(little).empty());
-    EXPECT_TRUE(actions_of<SendAttempt>(little).empty());
-    EXPECT_EQ(actions_of<SendAttempt>(grant_lease(gateway, own[0], 0.75)).size(), 1u);
+    const auto lease_requests = actions_of<SendMessage>(gateway.request(1, 1, 2s, 0, 0, "c", 2));
+    ASSERT_EQ(lease_requests.size(), 1u);
+    grant_lease(gateway, lease_requests[0], 1);
+    const auto prefetch = actions_of<SendMessage>(gateway.advance(120ms));
+    ASSERT_EQ(prefetch.size(), 1u);
+    const auto own_request = actions_of<SendMessage>(gateway.request(2, 1, 2s, 0, 0, "c", 2));
+    ASSERT_EQ(own_request.size(), 1u);
+    EXPECT_NEAR(std::get<LeaseRequest>(decode(own_request[0].bytes)->at(0)).required_units, 1, 1e-9);
+    const auto after_prefetch = grant_lease(gateway, prefetch[0], 0.25);
+    EXPECT_TRUE(actions_of<RejectRequest>(after_prefetch).empty());
+    EXPECT_TRUE(actions_of<SendAttempt>(after_prefetch).empty());
+    EXPECT_EQ(actions_of<SendAttempt>(grant_lease(gateway, own_request[0], 0.75)).size(), 1u);
 }
 
-TEST(Lease, LateWordThatThereIsNoneRejectsNobody) {
+TEST(Lease, LateEmptyGrantDoesNotRejectAWaitingRequest) {
     Settings settings = settings_of_one_of_two();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     ClockedGateway gateway(settings);
-    const auto asked = actions_of<SendMessage>(gateway.request(1, 1, 5s, 0, 0, "c", 2));
-    ASSERT_EQ(asked.size(), 1u);
-    const auto again = actions_of<SendMessage>(gateway.advance(200ms));
-    ASSERT_EQ(again.size(), 1u);
-    const auto say = [&](const SendMessage& to, LeaseGrant given) {
-        given.nonce = std::get<LeaseRequest>(decode(to.bytes)->at(0)).nonce;
-        return gateway.handle(MessageArrived{to.to, encode({given})});
+    const auto lease_requests = actions_of<SendMessage>(gateway.request(1, 1, 5s, 0, 0, "c", 2));
+    ASSERT_EQ(lease_requests.size(), 1u);
+    const auto repeated = actions_of<SendMessage>(gateway.advance(200ms));
+    ASSERT_EQ(repeated.size(), 1u);
+    const auto answer = [&](const SendMessage& request, LeaseGrant grant) {
+        grant.nonce = std::get<LeaseRequest>(decode(request.bytes)->at(0)).nonce;
+        return gateway.handle(MessageArrived{request.to, encode({grant})});
     };
-    EXPECT_TRUE(actions_of<RejectRequest>(say(asked[0], LeaseGrant{0, 0, 0, 400, 1})).empty());
-    EXPECT_EQ(actions_of<SendAttempt>(say(again[0], LeaseGrant{0, 1, 0, 0, 1})).size(), 1u);
+    EXPECT_TRUE(actions_of<RejectRequest>(answer(lease_requests[0], LeaseGrant{0, 0, 0, 400, 1})).empty());
+    EXPECT_EQ(actions_of<SendAttempt>(answer(repeated[0], LeaseGrant{0, 1, 0, 0, 1})).size(), 1u);
 }
 
-TEST(Lease, OddSetSizesWork) {
+TEST(Lease, RequestsAreServedForSetSizesOutsideTheFleet) {
     for (const int set : {0, 1, 2, 500}) {
         ClockedGateway gateway(settings_of_one_of_two());
         gateway.request(1, 1, 2s, 0, 0, "c", set);
--- a/tests/decision/request_rules_test.cpp
+++ b/tests/decision/request_rules_test.cpp
@@ -1,4 +1,4 @@
-// The rules on one request, and the guard that asks them before anything is carried out.
+// Tests of the rules on requests, through the rule guard that applies them.
 #include "gateway/request_rules.h"
 
 #include <gtest/gtest.h>
@@ -9,23 +9,25 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr int safe = 0, keyed_by_zone = 1, keyed = 2, unsafe = 3;
+// Indexes of the request classes: `keyed` classes are repeatable by their idempotency key.
+constexpr int idempotent = 0, keyed_by_zone = 1, keyed = 2, not_idempotent = 3;
 
 Settings settings() {
-    Settings s;
-    s.max_attempts = 3;
-    s.connect_timeout = 100ms;
-    const auto add = [&](Idempotency effect, DeduplicationScope scope) {
-        RequestClass c;
-        c.idempotency = effect, c.deduplication_scope = scope;
-        c.latency_objective = 1s, c.deadline = 2s, c.deduplication_window = 1s;
-        s.classes.push_back(c);
+    Settings result;
+    result.max_attempts = 3;
+    result.connect_timeout = 100ms;
+    const auto add_class = [&](Idempotency idempotency, DeduplicationScope scope) {
+        RequestClass request_class;
+        request_class.idempotency = idempotency, request_class.deduplication_scope = scope;
+        request_class.latency_objective = 1s, request_class.deadline = 2s,
+        request_class.deduplication_window = 1s;
+        result.classes.push_back(request_class);
     };
-    add(Idempotency::idempotent, DeduplicationScope::all);
-    add(Idempotency::with_key, DeduplicationScope::zone);
-    add(Idempotency::with_key, DeduplicationScope::all);
-    add(Idempotency::not_idempotent, DeduplicationScope::all);
-    return s;
+    add_class(Idempotency::idempotent, DeduplicationScope::all);
+    add_class(Idempotency::with_key, DeduplicationScope::zone);
+    add_class(Idempotency::with_key, DeduplicationScope::all);
+    add_class(Idempotency::not_idempotent, DeduplicationScope::all);
+    return result;
 }
 HostEntry host(const std::string& name, const std::string& zone, HostState state = HostState::up) {
     HostEntry entry;
@@ -38,29 +40,30 @@
     Micros now = 1h;
     void SetUp() override {
         guard.hosts_changed({true, {host("a1", "a"), host("a2", "a"), host("b1", "b")}});
-        for (const int c : {safe, keyed_by_zone, keyed, unsafe}) guard.request_arrived(id(c), c, now + 2s);
+        for (const int request_class : {idempotent, keyed_by_zone, keyed, not_idempotent})
+            guard.request_arrived(id(request_class), request_class, now + 2s);
     }
     static RequestId id(int request_class) { return static_cast<RequestId>(request_class) + 1; }
-    SendVerdict begin(int request_class, int number, const std::string& at) {
-        return guard.begin_attempt(id(request_class), number, at, now);
+    SendVerdict begin(int request_class, int number, const std::string& host_name) {
+        return guard.begin_attempt(id(request_class), number, host_name, now);
     }
     void end(int request_class, int number, Outcome outcome) {
         guard.attempt_ended(id(request_class), number, outcome);
     }
 };
 
-TEST_F(RuleGuardTest, AnUnsafeRequestIsRepeatedOnlyWhenItNeverRan) {
-    EXPECT_EQ(begin(unsafe, 0, "a1"), SendVerdict::allowed);
-    end(unsafe, 0, Outcome::rejected);
-    EXPECT_TRUE(guard.may_reject(id(unsafe)));
-    EXPECT_EQ(begin(unsafe, 1, "a2"), SendVerdict::allowed);
-    end(unsafe, 1, Outcome::reset);
-    EXPECT_EQ(begin(unsafe, 2, "a2"), SendVerdict::may_have_run);
-    EXPECT_FALSE(guard.may_reject(id(unsafe)));
+TEST_F(RuleGuardTest, NonIdempotentRequestIsRetriedOnlyIfItWasNotExecuted) {
+    EXPECT_EQ(begin(not_idempotent, 0, "a1"), SendVerdict::allowed);
+    end(not_idempotent, 0, Outcome::rejected);
+    EXPECT_TRUE(guard.may_reject(id(not_idempotent)));
+    EXPECT_EQ(begin(not_idempotent, 1, "a2"), SendVerdict::allowed);
+    end(not_idempotent, 1, Outcome::reset);
+    EXPECT_EQ(begin(not_idempotent, 2, "a2"), SendVerdict::may_have_run);
+    EXPECT_FALSE(guard.may_reject(id(not_idempotent)));
     EXPECT_EQ(guard.violations().total(), 2u);
 }
 
-TEST_F(RuleGuardTest, AKeyedRequestIsRepeatedWhereHostsKnowIt) {
+TEST_F(RuleGuardTest, RequestWithAKeyIsRetriedWithinScopeAndWindow) {
     EXPECT_EQ(begin(keyed_by_zone, 0, "a1"), SendVerdict::allowed);
     end(keyed_by_zone, 0, Outcome::timeout);
     EXPECT_EQ(begin(keyed_by_zone, 1, "b1"), SendVerdict::outside_deduplication_scope);
@@ -70,42 +73,43 @@
     EXPECT_EQ(begin(keyed, 0, "a1"), SendVerdict::allowed);
     end(keyed, 0, Outcome::cancelled);
     EXPECT_TRUE(guard.may_reject(id(keyed)));
-    now += 900ms;  // a connection that is late would bring the repeat when the window is over
+    now += 900ms;  // a slow connection would deliver the retry after the deduplication window
     EXPECT_EQ(begin(keyed, 1, "b1"), SendVerdict::outside_deduplication_window);
 }
 
-TEST_F(RuleGuardTest, CopiesAndCountsAreBound) {
-    EXPECT_EQ(begin(safe, 0, "a1"), SendVerdict::allowed);
-    EXPECT_EQ(begin(safe, 1, "a2"), SendVerdict::hedge_not_allowed);
+TEST_F(RuleGuardTest, HedgesAndAttemptsAreLimited) {
+    EXPECT_EQ(begin(idempotent, 0, "a1"), SendVerdict::allowed);
+    EXPECT_EQ(begin(idempotent, 1, "a2"), SendVerdict::hedge_not_allowed);
     for (const int number : {0, 2, 3}) {
-        end(safe, number, Outcome::error);
-        EXPECT_EQ(begin(safe, number + 1, "a2"),
+        end(idempotent, number, Outcome::error);
+        EXPECT_EQ(begin(idempotent, number + 1, "a2"),
                   number < 3 ? SendVerdict::allowed : SendVerdict::attempts_exhausted);
-        end(safe, number + 1, Outcome::error);
+        end(idempotent, number + 1, Outcome::error);
     }
 }
 
-TEST_F(RuleGuardTest, NothingGoesToAHostThatLeavesOrAfterTheEnd) {
+TEST_F(RuleGuardTest, NoAttemptBeginsAtADrainingHostOrAfterTheRequestHasEnded) {
     guard.hosts_changed({false, {host("a1", "a", HostState::draining)}});
-    EXPECT_EQ(begin(safe, 0, "a1"), SendVerdict::host_draining);
-    EXPECT_EQ(begin(safe, 0, "unheard-of"), SendVerdict::host_draining);
+    EXPECT_EQ(begin(idempotent, 0, "a1"), SendVerdict::host_draining);
+    EXPECT_EQ(begin(idempotent, 0, "unheard-of"), SendVerdict::host_draining);
     guard.host_banned({"a2", true});
-    EXPECT_EQ(begin(safe, 0, "a2"), SendVerdict::host_draining);
-    guard.hosts_changed({true, {host("a2", "a")}});  // no list lifts a ban
-    EXPECT_EQ(begin(safe, 0, "a2"), SendVerdict::host_draining);
-    EXPECT_EQ(begin(safe, 0, "b1"), SendVerdict::host_draining);
+    EXPECT_EQ(begin(idempotent, 0, "a2"), SendVerdict::host_draining);
+    guard.hosts_changed({true, {host("a2", "a")}});  // an update of the list does not lift a ban
+    EXPECT_EQ(begin(idempotent, 0, "a2"), SendVerdict::host_draining);
+    EXPECT_EQ(begin(idempotent, 0, "b1"), SendVerdict::host_draining);
     guard.host_banned({"a2", false});
-    const std::uint64_t faults = guard.violations().total();
-    EXPECT_EQ(begin(safe, 0, "a2"), SendVerdict::allowed);
-    guard.client_disconnected(id(safe));
-    EXPECT_EQ(begin(safe, 1, "a2"), SendVerdict::already_completed);
+    const std::uint64_t violations = guard.violations().total();
+    EXPECT_EQ(begin(idempotent, 0, "a2"), SendVerdict::allowed);
+    guard.client_disconnected(id(idempotent));
+    EXPECT_EQ(begin(idempotent, 1, "a2"), SendVerdict::already_completed);
     guard.answered(id(keyed), now);
     EXPECT_EQ(begin(keyed, 0, "a2"), SendVerdict::already_completed);
     now += 2s;
-    EXPECT_EQ(begin(unsafe, 0, "a2"), SendVerdict::expired);
-    EXPECT_EQ(guard.violations().total(), faults);  // decisions may cross an end
+    EXPECT_EQ(begin(not_idempotent, 0, "a2"), SendVerdict::expired);
+    // A decision made before the request ended is not a violation.
+    EXPECT_EQ(guard.violations().total(), violations);
     now += 500ms;
-    guard.answered(id(unsafe), now);
+    guard.answered(id(not_idempotent), now);
     EXPECT_EQ(guard.violations().late_answers, 1u);
 }
 
