--- a/tests/decision/unit/context_test.cpp
+++ b/tests/decision/unit/context_test.cpp
@@ -15,7 +15,7 @@
     EXPECT_THROW(Context(settings, random_seed, start_time), std::invalid_argument);
 }
 
-TEST(Context, SettingsThatCannotWorkAreRejected) {
+TEST(Context, InvalidSettingsAreRejected) {
     expect_invalid(fleet_settings(2, 2));
     expect_invalid(fleet_settings(2, -1));
 
@@ -32,10 +32,10 @@
     expect_invalid(without_deadline);
 }
 
-TEST(Context, NoncesRiseByTwoAndWrapAroundPastZero) {
+TEST(Context, NoncesIncreaseByTwoAndSkipZeroWhenTheyWrapAround) {
     EventContext event;
     const auto set_to_highest = [](std::uint32_t& nonce) {
-        nonce = std::numeric_limits<std::uint32_t>::max();  // as odd as all of them
+        nonce = std::numeric_limits<std::uint32_t>::max();  // odd, as all nonces are
     };
     event.context.serialize_nonce(set_to_highest);
 
@@ -43,7 +43,7 @@
     EXPECT_EQ(event.context.next_nonce(), 1u);
 }
 
-TEST(Context, ATimerTokenKeepsKindAndSubject) {
+TEST(Context, TimerTokenContainsKindAndSubject) {
     EventContext event;
     // The largest subject whose token fits 64 bits for every kind.
     const std::uint64_t largest_subject = std::numeric_limits<std::uint64_t>::max() / 10 - 1;
@@ -57,7 +57,7 @@
     EXPECT_EQ(read_timer_token(timers[0].token).kind, TimerKind::inherited_in_flight);
 }
 
-TEST(Context, ATimerWaitsAMicrosecondAtLeast) {
+TEST(Context, TimerDurationIsAtLeastOneMicrosecond) {
     EventContext event;
 
     event.context.set_timer(0us, 1, TimerKind::deadline);
@@ -66,7 +66,7 @@
     for (const SetTimer& timer : event.emitted<SetTimer>()) EXPECT_EQ(timer.from_now, 1us);
 }
 
-TEST(Context, AStallLastsFromALateHeartbeatToTheEndOfItsEvent) {
+TEST(Context, StallLastsFromAMissedHeartbeatToTheEndOfTheEventThatDetectsIt) {
     EventContext event;
 
     event.advance(300ms);
@@ -74,7 +74,7 @@
     event.advance(1us);
     EXPECT_TRUE(event.context.stalled());
     event.context.heartbeat();
-    EXPECT_TRUE(event.context.stalled()) << "the event that notices the stall still belongs to it";
+    EXPECT_TRUE(event.context.stalled()) << "the stall lasts until the end of the event that detects it";
     event.advance(1us);
     EXPECT_FALSE(event.context.stalled());
 }
--- a/tests/decision/unit/customer_table_test.cpp
+++ b/tests/decision/unit/customer_table_test.cpp
@@ -14,7 +14,7 @@
     return request;
 }
 
-TEST(CustomerTable, ANewCustomerRefillsFromTheStartOfTheProcess) {
+TEST(CustomerTable, QuotaOfANewCustomerRefillsFromTheStartOfTheProcess) {
     EventContext event;
     CustomerTable customers(event.context);
     event.advance(3s);
@@ -28,7 +28,7 @@
     EXPECT_EQ(customers.find(name_hash("other")), nullptr);
 }
 
-TEST(CustomerTable, AKnownCustomerKeepsItsPlanAndItsLargestSet) {
+TEST(CustomerTable, KnownCustomerKeepsItsPlanAndItsLargestSet) {
     EventContext event(fleet_settings(8));
     CustomerTable customers(event.context);
     RequestArrived request = request_of("acme");
@@ -44,7 +44,7 @@
     EXPECT_EQ(customer.set_size, 4);
 }
 
-TEST(CustomerTable, ASetLiesWithinTheFleet) {
+TEST(CustomerTable, SetIsLimitedToTheFleet) {
     EventContext event(fleet_settings(8));
     CustomerTable customers(event.context);
     RequestArrived too_large = request_of("large");
@@ -60,7 +60,7 @@
     EXPECT_EQ(customers.find_or_create(absent).set_start, 7);
 }
 
-TEST(CustomerTable, TheIdleTimeoutIsTheLongestRefillAndTenSecondsAtLeast) {
+TEST(CustomerTable, IdleTimeoutIsTheLongestRefillTimeAndAtLeastTenSeconds) {
     EventContext without_plans;
     EXPECT_EQ(CustomerTable(without_plans.context).idle_timeout(), 10s);
 
@@ -69,12 +69,12 @@
     plan.rate = 2;
     plan.burst = 50;
     plan.ceiling_rate = 0;
-    plan.ceiling_burst = 1000;  // of no account without a ceiling
+    plan.ceiling_burst = 1000;  // has no effect without a ceiling rate
     EventContext with_plan(settings);
     EXPECT_EQ(CustomerTable(with_plan.context).idle_timeout(), 25s);
 }
 
-TEST(CustomerTable, ACustomerExpiresAtTheEndOfTheIdleTimeout) {
+TEST(CustomerTable, CustomerExpiresAtTheEndOfTheIdleTimeout) {
     EventContext event;
     CustomerTable customers(event.context);
     customers.find_or_create(request_of("acme"));
@@ -88,7 +88,7 @@
     EXPECT_EQ(customers.find(name_hash("acme")), nullptr);
 }
 
-TEST(CustomerTable, ACustomerWithWorkDoesNotExpire) {
+TEST(CustomerTable, CustomerWithWorkInProgressDoesNotExpire) {
     EventContext event;
     CustomerTable customers(event.context);
     customers.find_or_create(request_of("request in hand")).requests = 1;
--- a/tests/decision/unit/decaying_counter_test.cpp
+++ b/tests/decision/unit/decaying_counter_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr double memory_s = 2;
 
-TEST(DecayingCounter, DecaysByAFactorOfEInItsMemory) {
+TEST(DecayingCounter, DecaysByAFactorOfEInItsTimeConstant) {
     DecayingCounter counter;
     EXPECT_DOUBLE_EQ(counter.value(start_time, memory_s), 0);
 
@@ -22,7 +22,7 @@
     EXPECT_DOUBLE_EQ(counter.value(start_time + 2s, memory_s), 5 * std::exp(-1.0));
 }
 
-TEST(DecayingCounter, AnEntryIsAddedToWhatIsLeftOfEarlierOnes) {
+TEST(DecayingCounter, NewEntryIsAddedToTheDecayedSum) {
     DecayingCounter counter;
     counter.add(5, start_time, memory_s);
 
@@ -31,7 +31,7 @@
     EXPECT_DOUBLE_EQ(counter.value(start_time + 2s, memory_s), 5 * std::exp(-1.0) + 1);
 }
 
-TEST(DecayingCounter, ANegativeEntryTakesAnEarlierOneBack) {
+TEST(DecayingCounter, NegativeEntryCancelsAnEarlierEntry) {
     DecayingCounter counter;
     counter.add(5, start_time, memory_s);
 
--- a/tests/decision/unit/event_context.h
+++ b/tests/decision/unit/event_context.h
@@ -1,4 +1,4 @@
-// A context at a chosen time, with the actions that the module under test emits.
+// Fixture for unit tests: a Context with a simulated clock, and the actions that the module under test emits.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 inline constexpr Micros start_time = std::chrono::seconds(100);
 inline constexpr std::uint64_t random_seed = 7;
 
-// Settings of a fleet with one request class. Plans and permissions are the test's to add.
+// Settings of a fleet with one request class. Tests add the plans and permissions that they need.
 inline Settings fleet_settings(int instances, int rank = 0) {
     Settings settings;
     settings.instances = instances;
@@ -26,7 +26,7 @@
     return settings;
 }
 
-// Begins an event at `start_time`, when the process is not stalled.
+// Owns a Context, and begins an event at `start_time` at which the process is not stalled.
 class EventContext {
   public:
     explicit EventContext(Settings settings = fleet_settings(1))
@@ -36,28 +36,28 @@
         actions.clear();
     }
 
-    // Begins an event so long after the current one.
+    // Begins an event that occurs `elapsed` after the current one.
     void advance(Micros elapsed) { context.begin_event(context.now() + elapsed, actions); }
 
-    // The emitted actions of one kind, in order.
-    template <class Kind>
-    [[nodiscard]] std::vector<Kind> emitted() const {
-        std::vector<Kind> of_kind;
+    // The emitted actions of one type, in order.
+    template <class Type>
+    [[nodiscard]] std::vector<Type> emitted() const {
+        std::vector<Type> matches;
         for (const Action& action : actions)
-            if (const auto* found = std::get_if<Kind>(&action)) of_kind.push_back(*found);
-        return of_kind;
+            if (const auto* match = std::get_if<Type>(&action)) matches.push_back(*match);
+        return matches;
     }
 
-    // The peer messages of one kind in all messages sent, in order.
+    // The peer messages of one type in all sent datagrams, in order.
     template <class Message>
     [[nodiscard]] std::vector<Message> sent_to_peers() const {
-        std::vector<Message> of_kind;
+        std::vector<Message> matches;
         for (const SendMessage& sent : emitted<SendMessage>()) {
             const std::vector<PeerMessage> messages = decode(sent.bytes).value();
             for (const PeerMessage& message : messages)
-                if (const auto* found = std::get_if<Message>(&message)) of_kind.push_back(*found);
+                if (const auto* match = std::get_if<Message>(&message)) matches.push_back(*match);
         }
-        return of_kind;
+        return matches;
     }
 
     Actions actions;
--- a/tests/decision/unit/peer_messenger_test.cpp
+++ b/tests/decision/unit/peer_messenger_test.cpp
@@ -9,15 +9,16 @@
 using namespace std::chrono_literals;
 
 constexpr int peer = 3;
-constexpr int messages_at_once = 3;
-constexpr Micros pace = 12'500us;  // 80 messages a second: the usable share of 100
+constexpr int burst = 3;
+// The interval at 80 messages per second, the usable share of a receive rate of 100.
+constexpr Micros send_interval = 12'500us;
 
 class PeerMessengerTest : public testing::Test {
   protected:
     void post(int count, bool urgent) {
         for (int posted = 0; posted < count; ++posted) messenger.post(peer, LeaseRequest{}, urgent);
     }
-    // Lets time pass until the peer's outbox goes.
+    // Advances the time until the peer's outbox is flushed.
     void flush() {
         event.advance(messenger.queueing_delay(peer));
         messenger.on_flush_timer(peer);
@@ -29,19 +30,19 @@
     PeerMessenger messenger{event.context};
 };
 
-TEST_F(PeerMessengerTest, UrgentMessagesGoAtOnceUntilTheBurstIsSpent) {
-    post(messages_at_once, true);
+TEST_F(PeerMessengerTest, UrgentMessagesAreSentImmediatelyUntilTheBurstIsSpent) {
+    post(burst, true);
     EXPECT_EQ(sent(), 3u);
     EXPECT_EQ(messenger.queueing_delay(peer), 0us);
 
     post(1, true);
     EXPECT_EQ(sent(), 3u);
-    EXPECT_EQ(messenger.queueing_delay(peer), pace);
+    EXPECT_EQ(messenger.queueing_delay(peer), send_interval);
     flush();
     EXPECT_EQ(sent(), 4u);
 }
 
-TEST_F(PeerMessengerTest, OtherMessagesAreBundled) {
+TEST_F(PeerMessengerTest, OtherMessagesAreBatched) {
     post(2, false);
     EXPECT_EQ(sent(), 0u);
     EXPECT_EQ(event.emitted<SetTimer>().size(), 1u);
@@ -49,14 +50,14 @@
 
     event.advance(messenger.batching_delay() - 1us);
     messenger.on_flush_timer(peer);
-    EXPECT_EQ(sent(), 0u) << "an earlier timer is out of date";
+    EXPECT_EQ(sent(), 0u) << "a flush timer that fires too early is ignored";
     event.advance(1us);
     messenger.on_flush_timer(peer);
     EXPECT_EQ(sent(), 1u);
     EXPECT_EQ(event.sent_to_peers<LeaseRequest>().size(), 2u);
 }
 
-TEST_F(PeerMessengerTest, AFullOutboxDropsWhatComesOnTop) {
+TEST_F(PeerMessengerTest, FullOutboxDropsFurtherMessages) {
     post(250, false);
 
     while (messenger.queueing_delay(peer) > 0us) flush();
@@ -64,7 +65,7 @@
     EXPECT_EQ(event.sent_to_peers<LeaseRequest>().size(), 200u);
 }
 
-TEST_F(PeerMessengerTest, APeerIsSilentForASecondAfterTwoUnansweredRequests) {
+TEST_F(PeerMessengerTest, PeerIsSilentForOneSecondAfterTwoUnansweredRequests) {
     messenger.record_unanswered(peer, start_time);
     EXPECT_FALSE(messenger.is_silent(peer));
     messenger.record_unanswered(peer, start_time);
@@ -77,7 +78,7 @@
     EXPECT_FALSE(messenger.is_silent(peer));
 }
 
-TEST_F(PeerMessengerTest, OnlyAMessageOfThisVersionProvesThatAPeerIsAlive) {
+TEST_F(PeerMessengerTest, OnlyAValidMessageProvesThatAPeerIsAlive) {
     messenger.record_unanswered(peer, start_time);
     messenger.record_unanswered(peer, start_time);
 
@@ -90,12 +91,12 @@
 
     messenger.record_unanswered(peer, start_time);
     messenger.record_unanswered(peer, start_time);
-    EXPECT_FALSE(messenger.is_silent(peer)) << "heard since the requests were sent";
+    EXPECT_FALSE(messenger.is_silent(peer)) << "the peer has sent a message since the requests were sent";
 }
 
-// Documents the behaviour as it is: a peer's idle time counts from its latest flush, so that a message whose
-// first flush is still to come is lost with its peer.
-TEST_F(PeerMessengerTest, APeerWithoutAFlushExpiresWithItsOutbox) {
+// Documents the current behaviour: the idle time of a peer starts at its latest flush. A peer that was never
+// flushed expires together with the messages in its outbox.
+TEST_F(PeerMessengerTest, PeerThatWasNeverFlushedExpiresWithItsOutbox) {
     post(1, false);
 
     messenger.expire_idle(10s);
--- a/tests/decision/unit/quota_ledger_test.cpp
+++ b/tests/decision/unit/quota_ledger_test.cpp
@@ -8,8 +8,8 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr std::uint32_t customer_hash = 8;  // rank 0 holds the lease in sets from rank 0 on
-constexpr double initial_units = 50;        // half of the burst
+constexpr std::uint32_t customer_hash = 8;  // rank 0 is the lease holder in sets that start at rank 0
+constexpr double initial_units = 50;        // a new ledger has half of the burst
 
 Settings ledger_settings(int instances, int rank) {
     Settings settings = fleet_settings(instances, rank);
@@ -23,14 +23,15 @@
 
 class QuotaLedgerTest : public testing::Test {
   protected:
-    static LeaseRequest request_for(double need, double extra = 0, double hard = 0) {
+    static LeaseRequest request_for(double required_units, double prefetch_units = 0,
+                                    double ceiling_units = 0) {
         LeaseRequest request;
         request.nonce = 77;
         request.customer = customer_hash;
         request.set_size = 4;
-        request.required_units = need;
-        request.prefetch_units = extra;
-        request.ceiling_units = hard;
+        request.required_units = required_units;
+        request.prefetch_units = prefetch_units;
+        request.ceiling_units = ceiling_units;
         return request;
     }
 
@@ -38,7 +39,7 @@
     QuotaLedger ledger{holder.context};
 };
 
-TEST_F(QuotaLedgerTest, UnitsThatAreGrantedLeaveTheLedgerFirst) {
+TEST_F(QuotaLedgerTest, GrantedUnitsAreDeductedFromTheLedger) {
     const LeaseGrant first = ledger.grant(request_for(initial_units));
     EXPECT_EQ(first.nonce, 77u);
     EXPECT_DOUBLE_EQ(first.units, initial_units);
@@ -46,24 +47,24 @@
 
     const LeaseGrant second = ledger.grant(request_for(1));
     EXPECT_DOUBLE_EQ(second.units, 0);
-    EXPECT_EQ(second.retry_after_ms, 101u) << "0.1 s for a unit, and a millisecond against rounding";
+    EXPECT_EQ(second.retry_after_ms, 101u) << "one unit refills in 0.1 s, and 1 ms is added against rounding";
 }
 
-TEST_F(QuotaLedgerTest, AtMostHalfOfTheRestIsGrantedForPrefetching) {
+TEST_F(QuotaLedgerTest, AtMostHalfOfTheRemainingUnitsIsGrantedForPrefetching) {
     EXPECT_DOUBLE_EQ(ledger.grant(request_for(10, 5)).units, 15);
     EXPECT_DOUBLE_EQ(ledger.grant(request_for(5, 1000)).units, 5 + (35 - 5) / 2.0);
 }
 
-TEST_F(QuotaLedgerTest, GatewaysThatAreTurnedDownWaitInTurnAndForAMinuteAtMost) {
+TEST_F(QuotaLedgerTest, RetriesOfRejectedGatewaysAreScheduledOneAfterAnotherWithinOneMinute) {
     EXPECT_EQ(ledger.grant(request_for(initial_units + 10)).retry_after_ms, 1'001u);
     EXPECT_EQ(ledger.grant(request_for(initial_units + 10)).retry_after_ms, 7'001u)
-        << "6 s more for its own units";
+        << "the second gateway's 60 units add 6 s";
     EXPECT_EQ(ledger.grant(request_for(10'000)).retry_after_ms, 60'001u);
 }
 
-TEST_F(QuotaLedgerTest, TheHolderGrantsFromItsShareOfTheCeiling) {
-    // A new ledger has nothing of the ceiling. Documents the behaviour as it is: the wait is that of the
-    // whole ceiling rate, while the holder's share refills at half of it.
+TEST_F(QuotaLedgerTest, LeaseHolderGrantsFromItsShareOfTheCeiling) {
+    // A new ledger has no units of the ceiling. Documents the current behaviour: the wait is computed from
+    // the whole ceiling rate, although the lease holder's share refills at half of it.
     const LeaseGrant too_early = ledger.grant(request_for(0, 0, 1));
     EXPECT_DOUBLE_EQ(too_early.ceiling_units, 0);
     EXPECT_EQ(too_early.retry_after_ms, 51u);
@@ -74,7 +75,7 @@
     EXPECT_DOUBLE_EQ(ledger.grant(request_for(0, 0, full_share)).ceiling_units, full_share);
 }
 
-TEST_F(QuotaLedgerTest, AFallbackHolderKeepsHalfOfTheBurstAndNothingOfTheCeiling) {
+TEST_F(QuotaLedgerTest, FallbackHolderKeepsHalfOfTheBurstAndNoCeilingUnits) {
     EventContext fallback(ledger_settings(4, 1));
     QuotaLedger fallback_ledger(fallback.context);
     fallback.advance(1h);
@@ -84,9 +85,9 @@
     EXPECT_DOUBLE_EQ(fallback_ledger.grant(request_for(initial_units)).units, initial_units);
 }
 
-// Documents the behaviour as it is: only lease requests count as use of a ledger. One that keeps permits
-// alone goes by the start of the process, whatever its permit holders requested since.
-TEST_F(QuotaLedgerTest, ALedgerExpiresAfterItsLatestLeaseRequestWhateverItsPermits) {
+// Documents the current behaviour: only lease requests count as use of a ledger. The idle time of a ledger
+// that has only permits starts at the start of the process, even if permits were requested since.
+TEST_F(QuotaLedgerTest, LedgerExpiresAfterItsLatestLeaseRequestRegardlessOfPermits) {
     const Plan& plan = holder.context.settings().plans.front();
     ledger.permit_holders(customer_hash, plan).push_back({.rank = 2, .wanted = 1});
     holder.advance(10s - 1us);
@@ -96,12 +97,13 @@
     ledger.grant(request_for(1));
     holder.advance(1us);
     ledger.expire_idle(10s);
-    EXPECT_EQ(ledger.permit_holders(customer_hash, plan).size(), 1u) << "the lease request was a use";
+    EXPECT_EQ(ledger.permit_holders(customer_hash, plan).size(), 1u) << "the lease request counts as use";
 
     const std::uint32_t permits_only = customer_hash + 1;
     ledger.permit_holders(permits_only, plan).push_back({.rank = 2, .wanted = 1});
     ledger.expire_idle(10s);
-    EXPECT_TRUE(ledger.permit_holders(permits_only, plan).empty()) << "dropped, though requested right now";
+    EXPECT_TRUE(ledger.permit_holders(permits_only, plan).empty())
+        << "the ledger expires although a permit was just requested";
 }
 
 }  // namespace
