--- a/include/gateway/interface.h
+++ b/include/gateway/interface.h
@@ -67,6 +67,7 @@
     double ceiling_burst = 0;        // capacity in units of the ceiling's token bucket
 };
 
+// The configuration of one gateway.
 struct Settings {
     int rank = 0;       // number of this gateway in the fleet, from 0 to `instances` - 1
     int instances = 1;  // number of gateways in the fleet
@@ -119,6 +120,7 @@
 
 // Events, the input of `Gateway::handle`.
 
+// Whether a host accepts requests, only finishes those that it has, or no longer exists.
 enum class HostState { up, draining, gone };
 
 // One host of the endpoint list.
@@ -162,6 +164,7 @@
     std::string host;
     bool banned = true;
 };
+// A client sent a request.
 struct RequestArrived {
     RequestId id = 0;  // unique among the requests that are not completed
     std::string customer;
@@ -172,6 +175,7 @@
     int set_size = 1;     // number of gateways through which this customer's requests arrive
     int set_start = 0;  // rank of the first such gateway; the ranks are consecutive, modulo the fleet's size
 };
+// An attempt ended with an answer or a failure.
 struct AttemptEnded {
     RequestId id = 0;
     int attempt = 0;  // number of the attempt, counted from 0
@@ -188,6 +192,7 @@
     RequestId id = 0;
     std::string host;
 };
+// A health check ended with an answer or a failure.
 struct HealthCheckEnded {
     std::string host;
     Outcome outcome = Outcome::success;
@@ -198,10 +203,12 @@
 struct ClientDisconnected {
     RequestId id = 0;
 };
+// A datagram of a peer arrived.
 struct MessageArrived {
     int from = 0;  // rank of the peer
     std::string bytes;
 };
+// A timer expired that SetTimer started.
 struct TimerFired {
     std::uint64_t token = 0;  // token of the SetTimer action
 };
@@ -223,6 +230,7 @@
 
 // Actions, the output of `Gateway::handle`.
 
+// Why an attempt is sent. A hedge is a second attempt while an earlier one is in flight.
 enum class AttemptReason { first, retry, hedge };
 
 // Why the gateway itself completes a request.
@@ -246,6 +254,7 @@
 [[nodiscard]] const char* to_string(RejectionReason reason);
 [[nodiscard]] const char* to_string(Outcome outcome);
 
+// Sends the request to a host. AttemptEnded reports the result.
 struct SendAttempt {
     RequestId id;
     std::string host;
@@ -258,11 +267,12 @@
     Micros retry_after;  // time after which the client should retry; 0: no Retry-After
     RejectionReason reason = RejectionReason::deadline_exceeded;
 };
-// Completes the request without any promise.
+// Completes the request with a failure: the request may have been executed.
 struct FailRequest {
     RequestId id;
     RejectionReason reason = RejectionReason::deadline_exceeded;
 };
+// Cancels an attempt in flight.
 struct CancelAttempt {
     RequestId id;
     int attempt;
@@ -276,6 +286,7 @@
     Micros from_now;
     std::uint64_t token;
 };
+// Sends a datagram to one peer or to all of them.
 struct SendMessage {
     int to;  // rank of the peer; below 0: every peer
     std::string bytes;
--- a/include/gateway/request_rules.h
+++ b/include/gateway/request_rules.h
@@ -49,6 +49,7 @@
 // Whether an outcome proves that the host did not execute the attempt.
 [[nodiscard]] bool proves_not_executed(Outcome outcome);
 
+// Whether an attempt may be sent, or the rule that forbids it.
 enum class SendVerdict {
     allowed,
     // The request has had the maximum number of attempts that the settings allow.
@@ -71,6 +72,7 @@
 constexpr std::size_t send_verdict_count = 9;
 [[nodiscard]] const char* to_string(SendVerdict verdict);
 
+// Applies the limits and the idempotency rules of the settings to the history of a request.
 class RequestRules {
   public:
     // `settings` must outlive this object.
--- a/include/gateway/rule_guard.h
+++ b/include/gateway/rule_guard.h
@@ -16,8 +16,10 @@
 
 namespace gateway::decision {
 
+// Tracks the hosts and the requests of one gateway and checks each action on a request against the rules.
 class RuleGuard {
   public:
+    // Counters of the forbidden actions and of late or missing answers.
     struct Violations {
         // Sends that were not allowed, indexed by SendVerdict.
         std::array<std::uint64_t, send_verdict_count> sends{};
--- a/src/decision/context.cpp
+++ b/src/decision/context.cpp
@@ -13,8 +13,8 @@
 // The process was stalled if no heartbeat occurred for longer than this time.
 constexpr Micros stall_threshold = 300ms;
 
-void require(bool holds, const char* what) {
-    if (!holds) throw std::invalid_argument(what);
+void require(bool condition, const char* message) {
+    if (!condition) throw std::invalid_argument(message);
 }
 
 void validate(const Settings& settings) {
--- a/src/decision/customer.h
+++ b/src/decision/customer.h
@@ -44,7 +44,7 @@
     std::vector<RequestId> waiting;
 };
 
-// A customer's attempts against its concurrency limit. Written by ConcurrencyPermits and the request flow.
+// The use of a customer's concurrency limit at this gateway. Written by ConcurrencyPermits and RequestFlow.
 struct PermitState {
     int in_flight = 0;               // number of attempts in flight
     int admitted = 0;                // number of requests admitted and not forwarded yet
@@ -57,6 +57,7 @@
     std::vector<RequestId> waiting;  // requests that wait for a permit
 };
 
+// One customer. The serialized fields are the part that a successor process restores.
 struct Customer {
     std::uint32_t hash = 0;  // hash of the customer's name
     int plan = -1;           // index into Settings::plans; below 0: unknown, no quota
--- a/src/decision/peer_messenger.h
+++ b/src/decision/peer_messenger.h
@@ -12,6 +12,7 @@
 
 namespace gateway::decision {
 
+// Keeps an outbox, a token bucket and the liveness of each peer.
 class PeerMessenger {
   public:
     explicit PeerMessenger(Context& context) : context_(context) {}
--- a/src/decision/quota_leases.h
+++ b/src/decision/quota_leases.h
@@ -29,6 +29,7 @@
     bool for_waiting_request;  // false: the lease was prefetched, or its request counted as lost
 };
 
+// Decides whether this gateway's tokens cover a request, and requests, prefetches and accounts for leases.
 class QuotaLeases {
   public:
     QuotaLeases(Context& context, QuotaLedger& ledger, PeerMessenger& messenger)
