--- a/include/gateway/interface.h
+++ b/include/gateway/interface.h
@@ -27,7 +27,7 @@
 enum class Idempotency {
     // A second execution does no harm.
     idempotent,
-    // Hosts detect a second execution by its idempotency key, within the deduplication scope and window.
+    // Hosts drop a second execution by its idempotency key, within the deduplication scope and window.
     with_key,
     // A second execution does harm.
     not_idempotent,
@@ -41,7 +41,7 @@
 struct RequestClass {
     std::string name;
     Idempotency idempotency = Idempotency::idempotent;
-    // Used only for `with_key`.
+    // Hosts that share idempotency keys. Used only for `with_key`.
     DeduplicationScope deduplication_scope = DeduplicationScope::all;
     // An answer within this time earns the full weight. Must be above 0.
     Micros latency_objective{0};
@@ -89,7 +89,7 @@
     bool may_message_peers = false;
     // Whether rejections carry the time after which the client should retry.
     bool may_send_retry_after = false;
-    // Longest retry time for rejected clients. The decision module does not apply it.
+    // Longest time after which a rejected client should retry. No part of this program applies it.
     Micros max_retry_after{0};
     // Rate of peer messages, per second, that one gateway can receive.
     double messages_per_s = 0;
@@ -103,7 +103,7 @@
 
     // Resolution of the timers.
     Micros tick{0};
-    // An attempt whose connection is not established within this time ends unsent.
+    // An attempt whose connection is not established within this time ends without being sent.
     Micros connect_timeout{0};
     // Time from a host's start until it has its full capacity.
     Micros slow_start_time{0};
@@ -120,15 +120,15 @@
 
 // Events, the input of `Gateway::handle`.
 
-// Whether a host accepts requests, only finishes those that it has, or no longer exists.
+// Whether a host accepts requests, only finishes those that it has, or has left the endpoint list.
 enum class HostState { up, draining, gone };
 
 // One host of the endpoint list.
 struct HostEntry {
     std::string host;  // unique name of the host
     std::string zone;
-    std::string kind;
-    std::int64_t cell = 0;
+    std::string kind;       // model of the host
+    std::int64_t cell = 0;  // group of hosts that may share their store of idempotency keys
     HostState state = HostState::up;
     double weight = 1;  // relative capacity
     Micros started{0};  // clock time of the latest start; 0: the host has been running for a long time
@@ -148,9 +148,9 @@
     rejected,        // the host answered that it is overloaded; the attempt was not executed
     timeout,         // no answer within the attempt's timeout
     connect_failed,  // no connection was established; the attempt was not executed
-    reset,           // the connection broke before the whole answer
+    reset,           // the connection broke before the answer was complete
     cancelled,       // this gateway cancelled the attempt
-    not_sent,        // no byte of the attempt was sent
+    not_sent,        // this gateway sent no byte of the attempt; does not count as a failure of the host
 };
 
 // A change of the endpoint list.
@@ -214,7 +214,7 @@
 };
 // An upgrade changed which process decides. If `away`, another process takes over: the gateway answers with
 // SaveSnapshot and admits no further request. Otherwise the other process has ended, and this process admits
-// requests again and takes its quotas back.
+// requests again, with quotas as after a process start.
 struct HandedOver {
     bool away = true;
 };
@@ -240,7 +240,7 @@
     over_quota,              // the request exceeds the rate quota or the ceiling
     over_concurrency_limit,  // a concurrency permit would be free too late
     warm_up_limit,           // the warm-up limiter would release the request too late
-    queue_full,              // the request queue is longer than hosts could serve in time
+    queue_full,              // the request waited longest in a queue longer than hosts could serve soon
     no_host_available,       // no host had capacity before the latest start
     no_lease_in_time,        // no quota lease was granted before the latest start
     retry_not_allowed,  // an attempt failed; idempotency, deduplication or the attempt limit forbid a retry
--- a/include/gateway/rule_guard.h
+++ b/include/gateway/rule_guard.h
@@ -2,7 +2,8 @@
 //
 // The server reports the events on its sockets to the guard, and checks with the guard before it sends an
 // attempt or rejects a request. The server does not carry out an action that the guard forbids. The guard
-// counts it as a violation: each violation is a defect of this program.
+// counts the action as a violation. Each violation is a defect of this program, except for a send to a host
+// after its request has been completed or has expired.
 #pragma once
 
 #include <array>
@@ -30,7 +31,7 @@
         // Requests without an answer whose connection the gateway closed.
         std::uint64_t unanswered = 0;
         // The number of violations that are defects of this program. Sends for a completed or expired request
-        // are blocked but not counted here: a request can end while the decision to send it is on its way.
+        // are blocked but not counted here, because a request can end after the decision to send it was made.
         [[nodiscard]] std::uint64_t total() const;
     };
 
--- a/src/decision/concurrency_permits.cpp
+++ b/src/decision/concurrency_permits.cpp
@@ -88,7 +88,7 @@
     customer.permits.queue_length = 0;
 }
 
-// Nonces increase modulo 2^32, so the sign of the difference tells which of two requests is older.
+// Nonces increase modulo 2^32, so the sign of the difference shows which of two requests is older.
 bool ConcurrencyPermits::is_superseded(const PermitRequest& request, const PermitHolder& holder) {
     return static_cast<std::int32_t>(request.nonce - holder.nonce) < 0;
 }
--- a/src/decision/concurrency_permits.h
+++ b/src/decision/concurrency_permits.h
@@ -31,17 +31,17 @@
     [[nodiscard]] Micros expected_wait(const Customer& customer, double response_s) const;
 
     // Requests the permits that this gateway needs from the lease holder, if their number has changed or if
-    // `renew` is set because the granted permits are about to expire. If this gateway is the lease holder,
-    // returns its own new grant, which the caller passes to `accept`.
+    // `renew` is set because the granted permits have to be renewed before they expire. If this gateway is
+    // the lease holder, returns its own new grant, which the caller passes to `accept`.
     std::optional<PermitGrant> request(Customer& customer, bool renew);
     // Handles the customer's renewal timer: returns whether its permits have to be renewed now. Records the
-    // lease holder as unanswering if it has not answered the latest request.
+    // latest request as unanswered if the lease holder has sent no message since.
     [[nodiscard]] bool renewal_due(const Customer& customer);
     // Clears the latest request, because the lease holder is silent and the even share applies.
     static void reset(Customer& customer);
-    // Handles a permit request as the lease holder: lends free permits one at a time, first to the gateway
-    // that has waited longest. A gateway that does not renew its permits loses them. Returns the grant for
-    // this gateway itself, if there is one.
+    // Handles a permit request as the lease holder: lends one free permit to each gateway that needs more,
+    // beginning with the gateway that has waited longest. A gateway that does not renew its permits loses
+    // them. Returns the grant for this gateway itself, if there is one.
     std::optional<PermitGrant> lend(const PermitRequest& request, int from);
     // Applies a grant to the customer. Returns false if it does not answer this gateway's latest request.
     [[nodiscard]] bool accept(Customer& customer, const PermitGrant& grant, int from);
--- a/src/decision/context.h
+++ b/src/decision/context.h
@@ -13,7 +13,8 @@
 using Actions = std::vector<Action>;
 
 // The purpose of a timer. The numeric values are part of the timer tokens, which recorded event sequences
-// contain, so the order of the enumerators must not change. In brackets: the subject of the timer's token.
+// contain, so the order of the enumerators must not change. The subject of the timer's token is given in
+// parentheses. For `request`, it is the id of the request.
 enum class TimerKind {
     deadline,             // the client's deadline has passed (request)
     release,              // the warm-up limiter releases the request (request)
--- a/src/decision/customer.h
+++ b/src/decision/customer.h
@@ -19,7 +19,7 @@
     double tokens = 0;
     // Time at which the even slice next covers a request. Used if no lease holder answers.
     Micros even_slice_at{0};
-    // Units of the requests that arrived at this gateway.
+    // Units of the recent requests at this gateway.
     DecayingCounter demand;
     // Demand at all gateways in units per second, as the lease holder reported it.
     double fleet_demand = 0;
@@ -37,7 +37,7 @@
     // Whether a lease request for predicted demand is in flight.
     bool prefetching = false;
     // Number of lease requests sent for the first waiting request.
-    int attempts = 0;
+    int lease_requests_sent = 0;
     // Number of lease requests that count as lost and are still tracked.
     int overdue = 0;
     // Requests that wait for a lease. A vector, because an empty std::deque takes 600 bytes.
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -109,7 +109,7 @@
             modules_.ledger.clear();
             flow_.reject_waiting();
         }
-        // If this process resumes, its quotas start empty, as after a process start, because the other
+        // If this process resumes, its quotas begin with the values of a process start, because the other
         // process may have spent everything that it received.
         if (!handover.away) context().restart_at(context().now());
         for (auto& [name, customer] : modules_.customers) modules_.leases.reset(customer);
--- a/src/decision/peer_messenger.cpp
+++ b/src/decision/peer_messenger.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t max_outbox_messages = 200;
 // A peer is silent after this number of consecutive unanswered requests.
 constexpr int unanswered_until_silent = 2;
-// A silent peer is skipped for this time.
+// A silent peer is skipped for this time. Also the length of the window over which active peers are counted.
 constexpr Micros silent_period = 1s;
 }  // namespace
 
@@ -29,8 +29,8 @@
 }
 
 // Maximum rate in messages per second to one peer: an even share of the rate that the peer can receive, or
-// the spare receive rate of this gateway if that is higher. The load of this gateway serves as an estimate of
-// the peer's load.
+// the spare receive rate of this gateway if that is higher, but at least one message per second. The load of
+// this gateway serves as an estimate of the peer's load.
 double PeerMessenger::send_rate() const {
     const Settings& settings = context_.settings();
     const double senders = std::clamp(std::max(active_peers_, previous_active_peers_), 1, settings.instances);
--- a/src/decision/peer_messenger.h
+++ b/src/decision/peer_messenger.h
@@ -21,7 +21,8 @@
     // the peer can receive, which is estimated from the load of this gateway. Other messages are batched.
     // Rate limiting prevents the loss of requests at an overloaded peer, at the cost of a delay.
     void post(int to, const PeerMessage& message, bool urgent);
-    // Maximum time for which a message that is not urgent is delayed, so that it can be batched with others.
+    // Longest time that a message that is not urgent waits in the outbox to be batched with others. The rate
+    // limit can delay it further.
     [[nodiscard]] Micros batching_delay() const;
     // Time until the messages in the peer's outbox are sent; 0 if it is empty.
     [[nodiscard]] Micros queueing_delay(int to) const;
@@ -31,9 +32,9 @@
     // Decodes a datagram and records that its sender is alive. Returns std::nullopt for bytes that are not a
     // valid datagram of this version.
     [[nodiscard]] std::optional<std::vector<PeerMessage>> receive(const MessageArrived& message);
-    // Records that a request sent to the peer at `sent_at` is unanswered. It does not count if the peer has
-    // sent any message since: the peer is alive, and the request or its answer was lost or is delayed. This
-    // prevents fallback holders from granting units that the lease holder grants as well.
+    // Records that a request sent to the peer at `sent_at` is unanswered. The request does not count if the
+    // peer has sent any message since: the peer is alive, and the request or its answer was lost or is
+    // delayed. This prevents fallback holders from granting units that the lease holder grants as well.
     void record_unanswered(int to, Micros sent_at);
     // Whether the peer leaves requests unanswered and has to be skipped for now.
     [[nodiscard]] bool is_silent(int peer) const;
--- a/src/decision/quota_leases.cpp
+++ b/src/decision/quota_leases.cpp
@@ -13,7 +13,7 @@
 // Number of gateways that can grant a customer's leases: the lease holder and its fallback holders.
 constexpr int holder_count = 3;
 // Maximum number of lease requests for one waiting request.
-constexpr int max_attempts = 4;
+constexpr int max_lease_requests = 4;
 // A lease request that is unanswered after this time counts as lost.
 constexpr Micros grant_timeout = 150ms;
 // A lease request covers the demand at this gateway for this number of seconds.
@@ -105,15 +105,16 @@
                          0,
                          ceiling_deficit(customer, units)};
     request.prefetch_units = std::max(0.0, upcoming_demand(customer) - units);
-    for (int fallback = 0; fallback < holder_count && quota.attempts < max_attempts; ++fallback) {
+    for (int fallback = 0; fallback < holder_count && quota.lease_requests_sent < max_lease_requests;
+         ++fallback) {
         const int to = holder(customer, fallback);
         if (to == settings.rank) return ledger_.grant(request);
         if (!settings.may_message_peers || messenger_.is_silent(to)) continue;
-        ++quota.attempts;
+        ++quota.lease_requests_sent;
         quota.pending_nonce = send_request(customer, to, request, false);
         return LeaseRequested{};
     }
-    quota.attempts = 0;
+    quota.lease_requests_sent = 0;
     return NoLeaseHolder{};
 }
 
--- a/src/decision/quota_leases.h
+++ b/src/decision/quota_leases.h
@@ -39,8 +39,8 @@
     void refill(Customer& customer);
     // Adds a request's units to the recent demand.
     void record_demand(Customer& customer, double units);
-    // This gateway's share of the customer's recent demand, from 0 to 1. It is the even share if no lease
-    // holder has reported the fleet's demand recently.
+    // This gateway's share of the customer's recent demand, from the even share to 1. It is the even share if
+    // no lease holder has reported the fleet's demand recently.
     [[nodiscard]] double demand_share(const Customer& customer) const;
 
     // Whether the tokens at this gateway cover a request of `units`.
@@ -58,8 +58,9 @@
     // the lease holder is silent.
     LeaseAnswer acquire(Customer& customer, double units);
     // Requests a lease for predicted demand once the tokens do not cover another request of `units` or the
-    // demand of the near future. Without prefetching, every request would wait for a lease of its own. The
-    // cost is that about the units of one request are held at this gateway while others could use them.
+    // demand until a lease request is answered. Without prefetching, every request would wait for a lease of
+    // its own. The cost is that about the units of one request are held at this gateway while other gateways
+    // could use them.
     void prefetch(Customer& customer, double units);
     // Adds the granted units to the customer's tokens.
     void credit(Customer& customer, const LeaseGrant& grant);
@@ -75,7 +76,7 @@
     void reserve(Customer& customer, double units, bool within_quota);
     // Spends the reserved units of the ceiling when an admitted request is forwarded for the first time.
     void spend_ceiling(Customer& customer, double units);
-    // Returns the tokens and the reserved units of an admitted request that ends without being forwarded.
+    // Undoes `reserve` for an admitted request that ends without being forwarded.
     void release(Customer& customer, double units, bool within_quota);
     // Corrects the tokens after a request used `actual` units instead of the `reserved` ones.
     static void correct(Customer& customer, double reserved, double actual);
@@ -86,7 +87,7 @@
     // Handles the timeout of a lease request. Returns the customer that has to acquire a lease again, or
     // null.
     [[nodiscard]] Customer* on_timeout(std::uint32_t nonce);
-    // Removes lease requests that have been overdue for too long.
+    // Removes overdue lease requests that were sent at least `sweep_period` ago.
     void expire_overdue();
 
     // Drops all lease requests, because another process holds the quotas now.
--- a/src/decision/quota_ledger.cpp
+++ b/src/decision/quota_ledger.cpp
@@ -37,7 +37,7 @@
 }
 
 // Schedules the retries of rejected gateways one after the other. Otherwise all of them would request the
-// same units at the same time, repeatedly, and overload this gateway's receive rate.
+// same units at the same time, repeatedly, and exceed this gateway's receive rate.
 Micros QuotaLedger::schedule_retry(Ledger& ledger, const Plan& plan, double required) {
     const double rate = std::max(plan.rate, min_rate);
     const Micros next_slot = ledger.retries_scheduled_until + to_micros(required / rate);
--- a/src/decision/quota_ledger.h
+++ b/src/decision/quota_ledger.h
@@ -32,8 +32,8 @@
 
     // Grants all required units or nothing, plus at most half of the remaining units for prefetching. An
     // empty grant reports the time to wait. Granted units are deducted from the ledger before the grant is
-    // sent, so that the units of a lost grant are lost and no unit is granted twice. Each restart of a holder
-    // can exceed the quota by at most one burst.
+    // sent, so that the units of a lost grant are lost and no unit is granted twice. A holder that restarts
+    // begins with a new ledger, so each restart can exceed the quota by at most one burst.
     LeaseGrant grant(const LeaseRequest& request);
     // The gateways that hold or need permits of the customer, with the longest waiting gateway first.
     [[nodiscard]] std::vector<PermitHolder>& permit_holders(std::uint32_t customer, const Plan& plan);
--- a/src/decision/request_admission.cpp
+++ b/src/decision/request_admission.cpp
@@ -9,8 +9,8 @@
 namespace {
 using namespace std::chrono_literals;
 
-// The latest start of a request leaves time for the answer: this multiple of the expected response time,
-// limited to a share of the time left until the latency objective.
+// The latest start of a request leaves time for the answer: `response_margin` times the expected response
+// time, but at most `max_margin_share` of the time left until the latency objective.
 constexpr double response_margin = 1.3;
 constexpr double max_margin_share = 0.8;
 // Inherited attempts count as in flight for this multiple of the mean response time.
@@ -136,7 +136,7 @@
 }
 
 void RequestFlow::apply_grant(Customer& customer, const LeaseGrant& grant) {
-    customer.quota.attempts = 0;
+    customer.quota.lease_requests_sent = 0;
     if (credit(customer, grant) || customer.quota.waiting.empty()) return acquire_lease(customer);
     const Micros wait = modules_.leases.mark_exhausted(customer, grant);
     for (const RequestId id : std::exchange(customer.quota.waiting, {})) {
--- a/src/decision/request_flow.h
+++ b/src/decision/request_flow.h
@@ -92,7 +92,7 @@
     // execution is harmless, and otherwise fails it.
     void give_up(Request& request, RejectionReason reason);
     void reject(Request& request, Micros retry_after, RejectionReason reason);
-    // Removes a completed request and returns its reserved units and permits.
+    // Removes a completed request and releases its reserved units and permits.
     void release(Request& request);
 
     [[nodiscard]] Request* find(RequestId id);
--- a/src/decision/tuning.h
+++ b/src/decision/tuning.h
@@ -12,10 +12,11 @@
 inline constexpr double response_memory_s = 10;
 // Time constant in seconds of the counters of units sent to hosts and of the work that hosts have done.
 inline constexpr double sent_memory_s = 5;
-// Interval between two removals of idle state.
+// Interval between two removals of idle state. Also the time for which the lease holder's report of the
+// fleet's demand is valid, and after which an overdue lease request is removed.
 inline constexpr Micros sweep_period = std::chrono::seconds(5);
 
-// Time for which a host's load report is valid, and for which a host with a failed health check is avoided.
+// Time for which a host's load report is valid, and for which a host with a failed health check is ejected.
 inline constexpr Micros load_report_lifetime = std::chrono::milliseconds(250);
 
 // Response times up to this share of the latency objective count as fast. Slower ones lower the concurrency
