--- a/tests/decision/concurrency_test.cpp
+++ b/tests/decision/concurrency_test.cpp
@@ -69,9 +69,9 @@
     EXPECT_EQ(fourth[0].id, 4u);
 }
 
-// Guards against even shares that exceed the limit in total: 43% of the attempts sent as a
-// customer's second attempt in flight at one gateway exceeded the limit.
-TEST(ConcurrencyLimit, EvenSharesOfGatewaysDoNotExceedItInTotal) {
+// Guards against even shares that exceed the limit in total: 43% of the attempts sent as a customer's second
+// attempt in flight at one gateway exceeded the limit.
+TEST(ConcurrencyLimit, EvenSharesOfGatewaysDoNotExceedTheLimitInTotal) {
     Settings settings = settings_of_one_of_two();
     settings.plans[0].rate = settings.plans[0].burst = 100;
     settings.plans[0].max_concurrency = 3;
@@ -120,7 +120,7 @@
 
 // Guards against a minimum of one permit for each gateway of a set that is larger than the limit: with five
 // gateways and a limit of two, a quarter of the forwarded units exceeded the limit.
-TEST(ConcurrencyLimit, SetLargerThanTheLimitDoesNotExceedItInTotal) {
+TEST(ConcurrencyLimit, GatewaysOfASetLargerThanTheLimitDoNotExceedTheLimitInTotal) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         Fleet fleet(fleet_settings_with_two_permits(), 12, seed);
         fleet.answer_after = 200'000us;
--- a/tests/decision/fleet.h
+++ b/tests/decision/fleet.h
@@ -11,11 +11,14 @@
     Settings settings;
     std::mt19937_64 random;
     std::vector<ClockedGateway> gateways;
+    // Peer messages by their time of delivery, with the rank of the receiver.
     std::multimap<Micros, std::pair<int, MessageArrived>> messages_in_transit;
+    // Attempts in flight by the time of their answer, with the rank of the sender.
     std::multimap<Micros, std::pair<int, SendAttempt>> answers;
     Micros now{1'000'000};
     Micros max_message_delay{20'000};  // maximum delay of a message
     Micros answer_after{5'000};        // response time of every attempt
+    // All attempts, with the rank of the sender.
     std::vector<std::pair<int, SendAttempt>> sent;
     Fleet(Settings common, int count, std::uint64_t seed) : settings(std::move(common)), random(seed) {
         settings.instances = count;
@@ -25,7 +28,8 @@
         }
     }
     static std::vector<HostEntry> hosts() { return {host("a"), host("b"), host("c"), host("d")}; }
-    // Delivers the actions of the gateway with that rank: sends its attempts and peer messages.
+    // Executes the actions of the gateway with that rank: starts its attempts and sends its peer messages, of
+    // which one in 16 is lost and one in 16 is duplicated.
     void execute(int rank, const std::vector<Action>& actions) {
         for (const Action& action : actions) {
             if (const auto* send = std::get_if<SendAttempt>(&action)) {
--- a/tests/decision/lease_test.cpp
+++ b/tests/decision/lease_test.cpp
@@ -211,12 +211,13 @@
 TEST(Lease, PrefetchedUnitsOfASetDoNotExceedTheBurst) {
     Settings settings = settings_of_one_of_two();
     settings.instances = 100;
-    const auto prefetched_units = [&](int set) {
+    const auto prefetched_units = [&](int set_size) {
         double max_units = 0;
         Settings borrower_settings = settings;
-        borrower_settings.rank = static_cast<int>((name_hash("c") + 1) % static_cast<std::uint32_t>(set));
+        borrower_settings.rank =
+            static_cast<int>((name_hash("c") + 1) % static_cast<std::uint32_t>(set_size));
         ClockedGateway gateway(borrower_settings);
-        const auto lease_requests = actions_of<SendMessage>(gateway.request(1, 1, 2s, 0, 0, "c", set));
+        const auto lease_requests = actions_of<SendMessage>(gateway.request(1, 1, 2s, 0, 0, "c", set_size));
         EXPECT_EQ(lease_requests.size(), 1u);
         if (lease_requests.empty()) return max_units;
         EXPECT_EQ(actions_of<SendAttempt>(grant_lease(gateway, lease_requests[0], 1)).size(), 1u);
@@ -227,9 +228,10 @@
     };
     const double burst = settings.plans[0].burst;  // 4
     EXPECT_GT(prefetched_units(2), 0);
-    for (const int set : {2, 3, 4})
-        EXPECT_LE((prefetched_units(set) - 1.0 / 16) * set, burst) << set;  // the encoding rounds up
-    for (const int set : {5, 50, 100}) EXPECT_EQ(prefetched_units(set), 0) << set;
+    for (const int set_size : {2, 3, 4})
+        EXPECT_LE((prefetched_units(set_size) - 1.0 / 16) * set_size, burst)
+            << set_size;  // the encoding rounds up
+    for (const int set_size : {5, 50, 100}) EXPECT_EQ(prefetched_units(set_size), 0) << set_size;
 }
 
 // Guards against prefetches that fill the outbox and delay the lease requests that client requests wait for.
@@ -247,9 +249,9 @@
     EXPECT_EQ(decode(urgent[0].bytes)->size(), 2u);
 }
 
-// Guards against a busy lease holder that counts as silent: it limited the rate of its grants by its own
-// receive rate, so that the answers came too late for the requesting gateways. A request does not wait for a
-// prefetched grant: its own lease request is sent, and either grant admits waiting requests.
+// Guards against a busy lease holder that counts as silent: it limited the rate of its grants to the spare
+// part of its own receive rate. Many gateways sent lease requests, so the grants came late, and the
+// requesting gateways treated the lease holder as failed.
 TEST(Lease, BusyLeaseHolderAnswersEachGatewayInTime) {
     Settings settings = settings_of_one_of_two();
     settings.instances = 100;
@@ -311,6 +313,8 @@
         EXPECT_EQ(message.to, static_cast<int>(lease_holder));
 }
 
+// A request does not wait for a prefetched grant: the gateway sends a lease request for it, and either grant
+// admits the waiting requests that it covers.
 TEST(Lease, TooSmallPrefetchedGrantDoesNotRejectAWaitingRequest) {
     Settings settings = settings_of_one_of_two();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
@@ -345,13 +349,14 @@
     EXPECT_EQ(actions_of<SendAttempt>(answer(repeated[0], LeaseGrant{0, 1, 0, 0, 1})).size(), 1u);
 }
 
-TEST(Lease, RequestsAreServedForSetSizesOutsideTheFleet) {
-    for (const int set : {0, 1, 2, 500}) {
+TEST(Lease, RequestIsServedForAnySetSize) {
+    for (const int set_size : {0, 1, 2, 500}) {
         ClockedGateway gateway(settings_of_one_of_two());
-        gateway.request(1, 1, 2s, 0, 0, "c", set);
+        gateway.request(1, 1, 2s, 0, 0, "c", set_size);
         gateway.advance(2s);
-        EXPECT_GE(actions_of<SendAttempt>(gateway.actions).size(), 1u) << set;
-        EXPECT_EQ(actions_of<RejectRequest>(gateway.actions).size(), 1u) << set;  // no host answered
+        EXPECT_GE(actions_of<SendAttempt>(gateway.actions).size(), 1u) << set_size;
+        // The request is rejected at its deadline, because no host answers.
+        EXPECT_EQ(actions_of<RejectRequest>(gateway.actions).size(), 1u) << set_size;
     }
 }
 
--- a/tests/decision/quota_test.cpp
+++ b/tests/decision/quota_test.cpp
@@ -39,14 +39,14 @@
 
 // Compares the units forwarded by all gateways with a reference token bucket of the ceiling, while peer
 // messages are lost, duplicated, reordered and delayed and gateways restart at random times.
-TEST(Ceiling, GatewaysDoNotExceedItInTotal) {
+TEST(Ceiling, GatewaysDoNotExceedTheCeilingInTotal) {
     for (const int count : {2, 12, 300}) {
         for (std::uint64_t seed = 1; seed <= (count > 100 ? 2 : 12); ++seed) {
             Settings settings = settings_of_one_of_two();
             settings.plans[0].rate = 50;
             settings.plans[0].burst = 60;  // high enough that only the ceiling limits requests
-            const int set = std::min(count, 8);
-            const double burst = 6.0 * set, rate = 3.0 * set;
+            const int set_size = std::min(count, 8);
+            const double burst = 6.0 * set_size, rate = 3.0 * set_size;
             settings.plans[0].ceiling_rate = rate;
             settings.plans[0].ceiling_burst = burst;
             Fleet fleet(settings, count, seed);
@@ -65,13 +65,13 @@
                     min_tokens = std::min(min_tokens, tokens);
                 }
                 fleet.sent.clear();
-                const int rank = static_cast<int>(fleet.random() % static_cast<std::uint64_t>(set));
+                const int rank = static_cast<int>(fleet.random() % static_cast<std::uint64_t>(set_size));
                 if (fleet.random() % 200 == 0) fleet.restart(rank);
                 if (step % 300 < 100) continue;  // idle periods let the shares of the ceiling refill
                 for (int i = 0; i < 3; ++i) {
                     const auto id = static_cast<RequestId>(10 * step + i + 1);
                     units[id] = static_cast<double>(1 + fleet.random() % 3);
-                    fleet.request(step % 7 < 4 ? 0 : rank, id, units[id], set);
+                    fleet.request(step % 7 < 4 ? 0 : rank, id, units[id], set_size);
                 }
             }
             EXPECT_GE(min_tokens, -std::max(3.0, burst / 10)) << count << " gateways, seed " << seed;
--- a/tests/decision/request_rules_test.cpp
+++ b/tests/decision/request_rules_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 using namespace std::chrono_literals;
 
-// Indexes of the request classes: `keyed` classes are repeatable by their idempotency key.
+// Indexes of the request classes in `settings()`. Requests of the `keyed` classes have an idempotency key.
 constexpr int idempotent = 0, keyed_by_zone = 1, keyed = 2, not_idempotent = 3;
 
 Settings settings() {
@@ -77,7 +77,7 @@
     EXPECT_EQ(begin(keyed, 1, "b1"), SendVerdict::outside_deduplication_window);
 }
 
-TEST_F(RuleGuardTest, HedgesAndAttemptsAreLimited) {
+TEST_F(RuleGuardTest, ForbiddenHedgesAndExcessAttemptsAreBlocked) {
     EXPECT_EQ(begin(idempotent, 0, "a1"), SendVerdict::allowed);
     EXPECT_EQ(begin(idempotent, 1, "a2"), SendVerdict::hedge_not_allowed);
     for (const int number : {0, 2, 3}) {
--- a/tests/decision/unit/customer_table_test.cpp
+++ b/tests/decision/unit/customer_table_test.cpp
@@ -50,14 +50,14 @@
     RequestArrived too_large = request_of("large");
     too_large.set_size = 100;
     too_large.set_start = 17;
-    RequestArrived absent = request_of("absent");
-    absent.set_size = 0;
-    absent.set_start = -1;
+    RequestArrived empty_set = request_of("empty");
+    empty_set.set_size = 0;
+    empty_set.set_start = -1;
 
     EXPECT_EQ(customers.find_or_create(too_large).set_size, 8);
     EXPECT_EQ(customers.find_or_create(too_large).set_start, 1);
-    EXPECT_EQ(customers.find_or_create(absent).set_size, 1);
-    EXPECT_EQ(customers.find_or_create(absent).set_start, 7);
+    EXPECT_EQ(customers.find_or_create(empty_set).set_size, 1);
+    EXPECT_EQ(customers.find_or_create(empty_set).set_start, 7);
 }
 
 TEST(CustomerTable, IdleTimeoutIsTheLongestRefillTimeAndAtLeastTenSeconds) {
@@ -91,7 +91,7 @@
 TEST(CustomerTable, CustomerWithWorkInProgressDoesNotExpire) {
     EventContext event;
     CustomerTable customers(event.context);
-    customers.find_or_create(request_of("request in hand")).requests = 1;
+    customers.find_or_create(request_of("open request")).requests = 1;
     customers.find_or_create(request_of("attempt in flight")).permits.in_flight = 1;
     customers.find_or_create(request_of("lease request")).quota.pending_nonce = 1;
     customers.find_or_create(request_of("prefetch")).quota.prefetching = true;
--- a/tests/decision/unit/decaying_counter_test.cpp
+++ b/tests/decision/unit/decaying_counter_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr double memory_s = 2;
 
-TEST(DecayingCounter, DecaysByAFactorOfEInItsTimeConstant) {
+TEST(DecayingCounter, DecaysByAFactorOfEInOneTimeConstant) {
     DecayingCounter counter;
     EXPECT_DOUBLE_EQ(counter.value(start_time, memory_s), 0);
 
--- a/tests/decision/unit/quota_leases_test.cpp
+++ b/tests/decision/unit/quota_leases_test.cpp
@@ -165,7 +165,7 @@
     EXPECT_FALSE(customer.quota.prefetching);
 }
 
-TEST_F(QuotaLeasesTest, HolderCountsAsExhaustedForRequestsOfThatSizeUntilItsWaitEnds) {
+TEST_F(QuotaLeasesTest, HolderIsExhaustedForRequestsOfTheRejectedSizeUntilTheWaitEnds) {
     EXPECT_EQ(leases.mark_exhausted(customer, LeaseGrant{}), 150ms)
         << "the wait is at least the timeout of a lease request";
     LeaseGrant empty_grant;
