--- a/src/decision/health_checker.cpp
+++ b/src/decision/health_checker.cpp
@@ -5,7 +5,8 @@
 
 namespace gateway::decision {
 namespace {
-// Health checks that all gateways together earn when each of them receives one request.
+// Number of health checks that all gateways together add to their budgets when each of them receives one
+// request.
 constexpr double fleet_checks_per_request = 12;
 }  // namespace
 
--- a/src/decision/health_checker.h
+++ b/src/decision/health_checker.h
@@ -8,9 +8,9 @@
 
 namespace gateway::decision {
 
-// A health check replaces the responses from which a gateway learns about a host, where it sees few of them.
-// Hosts answer the health checks of all gateways, so a budget limits them. It guards against many gateways
-// that each see few responses and send health checks for every request.
+// A gateway learns about a host from the host's responses. Where it sees few of them, a health check takes
+// their place. Hosts answer the health checks of all gateways, so a budget limits their number. The budget
+// guards against many gateways that each see few responses and send health checks for every request.
 class HealthChecker {
   public:
     explicit HealthChecker(Context& context) : context_(context) {}
@@ -26,7 +26,7 @@
     [[nodiscard]] static std::vector<RequestId> finish(Host& host);
 
   private:
-    // Limit on the budget, which is full at the start.
+    // The most health checks that the budget holds. The budget is full at the start.
     static constexpr double max_saved_checks = 4;
 
     Context& context_;
--- a/src/decision/host_index.h
+++ b/src/decision/host_index.h
@@ -18,8 +18,8 @@
     }
 };
 
-// All hosts, sorted by `Before`. The first of them, the front, are copied into a list that may be rearranged;
-// `rebuild_front` restores its sorted order.
+// All hosts, sorted by `Before`. The first hosts form the front, a separate list that the caller may
+// rearrange; `rebuild_front` restores its sorted order.
 template <class Host, class Before = ByOrderKey>
 class HostOrder {
   public:
@@ -43,8 +43,9 @@
 
     [[nodiscard]] std::size_t size() const { return hosts_.size(); }
     [[nodiscard]] std::size_t front_size() const { return front_.size(); }
-    [[nodiscard]] Host& front(std::size_t at) const { return *front_[at]; }
+    [[nodiscard]] Host& front(std::size_t position) const { return *front_[position]; }
     void swap_in_front(std::size_t first, std::size_t second) { std::swap(front_[first], front_[second]); }
+    // The position of the first host behind the front in sorted order.
     [[nodiscard]] Iterator behind_front() const { return behind_front_; }
 
   private:
--- a/src/decision/host_registry.cpp
+++ b/src/decision/host_registry.cpp
@@ -25,8 +25,8 @@
     for (const HostEntry& entry : change.entries) apply_entry(entry);
     if (change.complete_list)
         for (const std::string& name : gone_) slow_start_.update(hosts_.at(name));
-    // The first list is the one that was cached when this process started. It may be of any age, so its
-    // arrival does not count as the time of a list.
+    // The first list is the one that was cached when this process started. It may be of any age, so the time
+    // of its arrival is not recorded.
     if (std::exchange(has_list_, true)) last_list_at_ = context_.now();
 }
 
@@ -48,10 +48,10 @@
 }
 
 // Returns the start time that counts for the host's slow start. Starts are reported by a wall clock, which
-// may be stepped. A start in the future counts as now. A changed start that is implausibly old, by more than
-// the longest report delay before the previous list, also counts as now. This guards against a restarted host
-// that passes for warm, and against one that seems to start in the future. The cost is a slow start from now
-// on for a host whose restart is reported very late.
+// may be stepped. A start in the future counts as now. A changed start also counts as now if it is
+// implausibly old: more than `max_start_report_delay` before the previous change of the endpoint list. This
+// guards against a restarted host that passes for warm, and against one that seems to start in the future.
+// The cost is a slow start from now on for a host whose restart is reported very late.
 Micros HostRegistry::effective_start(const Host& host, const HostEntry& entry, bool created) const {
     const auto departed = departed_.find(entry.host);
     const bool known = !created || departed != departed_.end();
--- a/src/decision/host_registry.h
+++ b/src/decision/host_registry.h
@@ -13,7 +13,7 @@
 
 namespace gateway::decision {
 
-// Owns the hosts. References stay valid until `remove_departed` drops the host.
+// Owns the hosts. References stay valid until `remove_departed` removes the host.
 class HostRegistry {
   public:
     HostRegistry(Context& context, SlowStart& slow_start) : context_(context), slow_start_(slow_start) {}
@@ -28,11 +28,12 @@
     // Whether a host is gone and has no attempts in flight.
     [[nodiscard]] static bool has_departed(const Host& host);
     [[nodiscard]] bool any_gone() const noexcept { return !gone_.empty(); }
-    // Removes hosts that have departed and refreshes the order. No pointer to such a host may be left.
+    // Removes hosts that have departed and refreshes the order. Callers must drop all pointers to such hosts
+    // before the call.
     void remove_departed();
     // Deletes the saved starts of hosts that left the endpoint list long ago.
     void expire_departed();
-    // Rebuilds the front of the order and refreshes the slow start. Needed after hosts have changed.
+    // Rebuilds the front of the order and refreshes the slow start. Must be called after hosts have changed.
     void refresh_order();
 
     // Returns null if the host is not registered.
--- a/src/decision/host_selector.cpp
+++ b/src/decision/host_selector.cpp
@@ -5,15 +5,17 @@
 
 namespace gateway::decision {
 namespace {
-// Available hosts that are compared for one request, at most.
+// The most available hosts that are compared for one request.
 constexpr std::size_t max_considered_hosts = 12;
-// Each cost is multiplied by a random factor in a range from this value, which breaks ties.
+// Each cost is multiplied by a random factor, which breaks ties. The factor lies between `min_cost_noise` and
+// `min_cost_noise + cost_noise_range`.
 constexpr double min_cost_noise = 0.95;
 constexpr double cost_noise_range = 0.1;
-// Multiplies the settings' cost of another zone.
+// Factor on `Settings::cross_zone_cost`.
 constexpr double cross_zone_factor = 5;
-// Multiplies the cost of the host that got the request's last attempt.
+// Factor on the cost of the host that got the request's last attempt.
 constexpr double same_host_factor = 4;
+// Lower bound of a host's weight in its cost.
 constexpr double min_weight = 1e-3;
 }  // namespace
 
--- a/src/decision/host_selector.h
+++ b/src/decision/host_selector.h
@@ -34,18 +34,21 @@
     [[nodiscard]] Host* best_candidate(const Request& request) const;
     // Whether the rules on retries and hedged requests allow an attempt at the host.
     [[nodiscard]] bool may_take(const Host& host, const Request& request) const;
-    // Whether the host has capacity for one more request. It has if its fresh load report shows no queue and
-    // has no number of outstanding requests, whatever the adaptive limit is.
+    // Whether the host has capacity for one more request. A host has none if it is unusable or ejected, or if
+    // it has no fresh load report and is not known; see LoadEstimator::is_known. Any other host has capacity
+    // if its outstanding requests are below its limit. The limit does not apply if a fresh load report shows
+    // no queue and does not contain the number of outstanding requests.
     [[nodiscard]] bool has_capacity(const Host& host) const;
 
   private:
     // Cost of one more request at the host; lower is better. It is the time that the host probably takes for
     // its outstanding requests and this one, divided by its current capacity.
     [[nodiscard]] double cost(const Host& host) const;
-    // The same for a given request: with its zone, last host and penalties, and with random noise.
+    // Cost of sending the given request to the host. Another zone, the host of the request's last attempt and
+    // a penalty for the request's traffic class raise the cost. The cost includes random noise.
     [[nodiscard]] double cost(const Host& host, const Request& request);
-    // Whether the host is usable and not ejected, may take the request, and has less than its concurrency
-    // limit outstanding. The limit does not count for hosts that have too few outcomes to be known.
+    // Whether the host is usable and not ejected, the rules allow an attempt at the host, and its outstanding
+    // requests are below its limit. The limit does not apply to hosts that are not known.
     [[nodiscard]] bool is_available(const Host& host, const Request& request) const;
 
     Context& context_;
--- a/src/decision/load_estimator.cpp
+++ b/src/decision/load_estimator.cpp
@@ -9,12 +9,13 @@
 namespace {
 using namespace std::chrono_literals;
 
-// Share of the latency objective: a longer response counts as slow in the ratio that detects overload.
+// A response that takes longer than this share of the latency objective counts as slow in the ratio that
+// detects overload.
 constexpr double overload_response_share = 0.5;
 // Weight of one response in the ratio of slow responses.
 constexpr double slow_ratio_weight = 0.04;
-// Ratios of slow responses at which the hosts count as overloaded, as recovered, and as having capacity to
-// spare.
+// Ratios of slow responses. The hosts count as overloaded above the first, as recovered at or below the
+// second, and as having spare capacity below the third.
 constexpr double overloaded_above = 0.25;
 constexpr double recovered_below = 0.20;
 constexpr double spare_capacity_below = 0.08;
@@ -25,8 +26,8 @@
 constexpr double first_response_host_weight = 0.2;
 // Limit on the adaptive concurrency limits, in attempts of all gateways at one host.
 constexpr double max_limit = 128;
-// Number of recent outcomes at which a host's own figures weigh as much as those of all hosts; with more,
-// they outweigh them.
+// Number of recent outcomes at which a host's own figures weigh as much as those of all hosts. With more
+// outcomes, the host's own figures outweigh those of all hosts.
 constexpr double trusted_outcomes = 10;
 // A fast success near the limit raises the limit by this number of attempts divided by the limit.
 constexpr double limit_growth = 1;
@@ -35,8 +36,9 @@
 // In attempts. A host's limit is raised only if its estimated load is within this margin of the limit: a
 // limit that is not used up is not raised.
 constexpr double limit_use_margin = 2;
-// Weight, in attempts, of the mean over all hosts in the estimate of a host's load. With more attempts of
-// this gateway in flight at the host, their number outweighs the mean.
+// The estimate of another gateway's attempts at a host is a weighted mean of the number of this gateway's
+// attempts in flight at the host and of its mean number at one host. Both weigh the same where that mean is
+// this number of attempts. Where the mean is higher, the attempts in flight at the host outweigh it.
 constexpr double mean_weight_attempts = 2;
 // Number of recent outcomes from which a host gets requests without a health check.
 constexpr double known_outcomes = 10;
@@ -169,7 +171,7 @@
 
 void LoadEstimator::record_report(Host& host, const LoadReport& report) {
     // Where hosts report their load on health checks, a report that cannot be read says nothing about the
-    // load. In particular, it must not count as idle.
+    // load. In particular, the host must not count as idle.
     const bool unreadable = report.queued < 0 && report.outstanding < 0;
     if (context_.settings().reports == LoadReports::on_probe && unreadable) return;
     LoadState& load = host.load;
--- a/src/decision/load_estimator.h
+++ b/src/decision/load_estimator.h
@@ -25,8 +25,8 @@
     // Expected response time in seconds for a request of `units`. Half of the mean response time is taken as
     // waiting, and half as work, which grows in proportion to the units.
     [[nodiscard]] double expected_response_s(double units) const;
-    // Whether the mean response time is short compared with the latency objective (in seconds). Rejections
-    // and timeouts while responses are fast are due to one kind of request, not to load.
+    // Whether the mean response time is at most `slow_response_share` of the latency objective (in seconds).
+    // Rejections and timeouts while responses are fast are due to one kind of request, not to load.
     [[nodiscard]] bool responds_fast(double objective_s) const noexcept;
     // Whether one more attempt fits into this gateway's share of the hosts' concurrency limits. The fraction
     // of the share beyond whole attempts is a probability, so a share below one opens the window at random.
@@ -39,11 +39,11 @@
     // Whether this gateway has enough recent outcomes from the host to send to it without a health check.
     [[nodiscard]] bool is_known(const Host& host) const;
     // Number of requests at the host. A fresh load report, plus the attempts sent since, counts fully at
-    // first and loses weight with its age to this gateway's estimate. Without a fresh report, the estimate
-    // alone.
+    // first and loses weight with its age to this gateway's estimate. Without a fresh report, only the
+    // estimate counts.
     [[nodiscard]] double outstanding(const Host& host) const;
     // The most attempts of all gateways at the host: its own limit, blended with the limit over all hosts.
-    // The more recent outcomes it has, the more its own limit counts.
+    // The more recent outcomes the host has, the more its own limit counts.
     [[nodiscard]] double limit(const Host& host) const;
     // Mean response time of the host in seconds, blended with the mean over all hosts in the same way.
     [[nodiscard]] double blended_response_s(const Host& host) const;
@@ -61,7 +61,7 @@
     // Updates response times, limits and the overload state by an attempt's outcome. `objective_s`: latency
     // objective of the request's class in seconds.
     void record_outcome(Host& host, const AttemptEnded& ended, double objective_s);
-    // Records a host's load report, with the current time as its time.
+    // Records a host's load report, dated to the current time.
     void record_report(Host& host, const LoadReport& report);
 
     // Write the snapshot's values to the codec or read them from it.
--- a/src/decision/request_queue.cpp
+++ b/src/decision/request_queue.cpp
@@ -2,7 +2,7 @@
 
 namespace gateway::decision {
 namespace {
-// Requests that may wait for each listed host, in addition to one.
+// Number of requests that may wait for each listed host, in addition to one request that may always wait.
 constexpr double max_waiting_per_host = 0.5;
 }  // namespace
 
--- a/src/decision/rule_guard.cpp
+++ b/src/decision/rule_guard.cpp
@@ -2,8 +2,8 @@
 
 namespace gateway::decision {
 namespace {
-// An answer later than the deadline by at least this time counts as lost. An answer that is less late only
-// earns no weight.
+// An answer that is later than the deadline by at least this time counts as lost and is a violation. An
+// answer that is less late only earns no weight.
 constexpr Micros late_answer_tolerance = std::chrono::milliseconds(500);
 
 // Whether the verdict means that the request ended before the decision to send was carried out.
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -11,15 +11,15 @@
 namespace {
 using namespace std::chrono_literals;
 
-// A warming host may get this fraction of the load that would overload it. The load that would overload it is
-// derived from the share of a warm host.
+// A warming host may get this fraction of the load that would overload it. That load is the rate of a warm
+// host times the warming host's capacity share and `Settings::overload_multiple`.
 constexpr double safety_factor = 0.4;
 // Longest time since the host was last considered that counts towards its probability of admission.
 constexpr Micros max_accrual_time = 5s;
 // A computed warm rate is reused for this time.
 constexpr Micros warm_rate_lifetime = 50ms;
 constexpr double min_units = 1e-3;
-// Lower bound of this process's age, in seconds, in the computation of the warm rate.
+// Lower bound, in seconds, of the time since `Context::started_at` in the computation of the warm rate.
 constexpr double min_age_s = 0.1;
 }  // namespace
 
@@ -39,8 +39,9 @@
     return context_.uniform() * std::max(units, min_units) < rate * to_seconds(span);
 }
 
-// Averages over the hosts that are warm now. An average over all hosts would keep warming hosts nearly idle
-// just when few warm hosts carry the whole load.
+// Divides the units a second that were recently sent to the warm hosts by the number of warm hosts plus one.
+// Only hosts that are warm now count: an average over all hosts would keep warming hosts nearly idle just
+// when few warm hosts carry the whole load.
 double SlowStart::warm_rate() {
     if (context_.since(warm_rate_at_) < warm_rate_lifetime && warm_rate_at_ > 0us) return warm_rate_;
     warm_rate_at_ = context_.now();
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -22,15 +22,17 @@
     [[nodiscard]] bool restricts(const Host& host) const {
         return capacity_share(host) < 1 && warm_count_ > 0;
     }
-    // Whether a warming host may take a request of `units`. The decision is random. Its probability is the
-    // fraction of the request that has become due to the host since the host was last considered, so that the
-    // share holds in sum over all gateways. This guards against many gateways that send requests or retries
-    // to a fresh host at once. It fails to protect the host if requests cost more than their units.
+    // Whether a warming host may take a request of `units`. The decision is random. The probability of
+    // admission is the fraction of the request that has become due to the host since the host was last
+    // considered, so that all gateways together keep to the host's share. This guards against many gateways
+    // that send requests or retries to a fresh host at once. It fails to protect the host if requests cost
+    // more than their units.
     [[nodiscard]] bool admits(Host& host, double units);
     // Records that `units` are sent to the host.
     void record_sent(Host& host, double units);
 
-    // Must be called when the host's start has changed, or whether it is usable.
+    // Counts the host anew as warm or warming if it is usable, and excludes it otherwise. Must be called
+    // after the host's start has changed, or after it has become usable or unusable.
     void update(Host& host);
     // Excludes the host from the counts. Must be called before the host is destroyed, banned or reset.
     void remove(Host& host);
@@ -43,7 +45,8 @@
         bool operator()(const Host* left, const Host* right) const;
     };
 
-    // Units a second that this gateway sends to a warm host.
+    // Returns the rate, in units a second, at which this gateway recently sent requests to one warm host. The
+    // result is cached; see `refresh`.
     [[nodiscard]] double warm_rate();
     // Moves hosts that have become warm from the warming set to the count of warm hosts.
     void promote_warmed_up_hosts();
--- a/src/decision/snapshot_codec.h
+++ b/src/decision/snapshot_codec.h
@@ -33,7 +33,8 @@
     void operator()(Values&... values) {
         (put(values), ...);
     }
-    // Writes a time that is not from this process's clock, so that the reader must not shift it.
+    // Writes a time that does not come from this process's clock. SnapshotReader::unshifted_time must read
+    // it.
     void unshifted_time(std::chrono::microseconds& time) { put(time); }
     // Returns the bytes written and empties the writer.
     [[nodiscard]] std::string take() { return std::move(bytes_); }
--- a/tests/decision/handover_test.cpp
+++ b/tests/decision/handover_test.cpp
@@ -64,7 +64,7 @@
     EXPECT_EQ(actions_of<SendAttempt>(former.request(103)).size(), 1u);
 }
 
-TEST(Handover, ATruncatedSnapshotOrOneOfAnotherVersionKeepsTheGatewayWorking) {
+TEST(Handover, AGatewayKeepsWorkingAfterATruncatedSnapshotOrOneOfAnotherVersion) {
     ClockedGateway former(single_gateway_settings());
     former.request(1);
     const std::string snapshot = actions_of<SaveSnapshot>(former.handle(HandedOver{true})).at(0).bytes;
--- a/tests/decision/host_list_test.cpp
+++ b/tests/decision/host_list_test.cpp
@@ -36,7 +36,7 @@
 class ChurnedGateway {
   public:
     ChurnedGateway() : gateway_(settings(), 7, now_) {
-        for (int host = 0; host < hosts; ++host) listed_.emplace_back(entry(host, 0us));
+        for (int host = 0; host < host_count; ++host) listed_.emplace_back(entry(host, 0us));
         HostsChanged list{true, listed_};
         handle(list);
     }
@@ -66,13 +66,14 @@
         send_request();
         if (random_() % 8 == 0) change_random_host();
         if (random_() % 200 == 0) handle(HostsChanged{true, listed_});
-        if (random_() % 100 == 0) handle(HostBanned{listed_[random_() % hosts].host, random_() % 2 == 0});
+        if (random_() % 100 == 0)
+            handle(HostBanned{listed_[random_() % host_count].host, random_() % 2 == 0});
     }
     std::uint64_t digest() const { return digest_.value(); }
     std::uint64_t sent() const { return sent_; }
 
   private:
-    static constexpr int hosts = 60;
+    static constexpr int host_count = 60;
 
     HostEntry entry(int host, Micros started) const {
         return {std::string("h").append(std::to_string(host)),
@@ -93,7 +94,7 @@
         handle(arrival);
     }
     void change_random_host() {
-        const auto host = random_() % hosts;
+        const auto host = random_() % host_count;
         HostEntry changed = listed_[host];
         switch (random_() % 4) {
             case 0:
@@ -170,8 +171,8 @@
     std::vector<ListedHost> hosts(size);
     std::mt19937 random(5);
     std::uint64_t comparisons = 0;
-    constexpr std::size_t front = 32, changes = 1000;
-    HostOrder<ListedHost, CountingByOrderKey> order(front, {&comparisons});
+    constexpr std::size_t front_size = 32, changes = 1000;
+    HostOrder<ListedHost, CountingByOrderKey> order(front_size, {&comparisons});
     for (ListedHost& host : hosts) {
         host.entry.host = std::to_string(order.size());
         host.order_key = static_cast<std::uint32_t>(random());
@@ -186,7 +187,7 @@
         order.rebuild_front();
     }
     EXPECT_EQ(order.size(), size);
-    EXPECT_EQ(order.front_size(), std::min(front, size));
+    EXPECT_EQ(order.front_size(), std::min(front_size, size));
     return static_cast<double>(comparisons) / changes;
 }
 
--- a/tests/decision/host_selection_test.cpp
+++ b/tests/decision/host_selection_test.cpp
@@ -32,9 +32,9 @@
     EXPECT_EQ(actions_of<RejectRequest>(actions)[0].id, id);
 }
 
-// A host that rejected the requests of one plan as overloaded was ejected for the requests of all plans, and
-// later the plan's requests were sent to it again.
-TEST(Health, AHostThatRejectsOnePlanStillGetsRequestsOfOtherPlans) {
+// A host that rejected the requests of one plan as overloaded got no requests of any plan, and later requests
+// of the rejected plan were sent to it again.
+TEST(Health, AHostThatRejectsOnePlanGetsOnlyRequestsOfOtherPlans) {
     Settings settings = single_gateway_settings();
     settings.plans = {{"p", 0, 0, 0, 1, 0, 1, 0, 0}, {"q", 0, 0, 0, 1, 0, 1, 0, 0}};
     ClockedGateway gateway(settings, {host("a"), host("b"), host("c")});
--- a/tests/decision/retry_test.cpp
+++ b/tests/decision/retry_test.cpp
@@ -103,7 +103,7 @@
     }
 }
 
-// Timers fire only at whole ticks. With less than two ticks left, the timer for a decision in time would fire
+// Timers fire only at whole ticks. With two ticks left or less, the timer for a decision in time would fire
 // after the deadline.
 TEST(Deadline, ARequestWithAtMostTwoTicksLeftIsRejectedAtOnce) {
     for (const Micros time_left : {1us, 1000us, 4000us, 8000us}) {
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// A gateway with the hosts a and b. `attempts_at_a` sends requests, 10 ms apart, and counts
-// the attempts at host a.
+// A gateway with the hosts a and b. `attempts_at_a` sends requests, 10 ms apart, and counts the attempts at
+// host a.
 struct TwoHostGateway {
     ClockedGateway gateway;
     RequestId id = 1;
@@ -46,21 +46,21 @@
     settings.plans[0].rate = settings.plans[0].burst = 0;
     ClockedGateway gateway(settings, {host("a"), host("b"), host("c")});
     RequestId id = 1;
-    std::deque<SendAttempt> out;
+    std::deque<SendAttempt> in_flight;
     const auto run = [&](Micros span) {  // sends 20 requests a second, each answered after 200 ms
-        std::map<std::string, int> count;
+        std::map<std::string, int> attempts_by_host;
         for (Micros passed{0}; passed < span; passed += 50ms) {
             gateway.advance(50ms);
-            if (out.size() >= 4) {
-                gateway.end_attempt(out.front().id, out.front().host, Outcome::success, 200ms);
-                out.pop_front();
+            if (in_flight.size() >= 4) {
+                gateway.end_attempt(in_flight.front().id, in_flight.front().host, Outcome::success, 200ms);
+                in_flight.pop_front();
             }
             for (const SendAttempt& attempt : actions_of<SendAttempt>(gateway.request(id++))) {
-                ++count[attempt.host];
-                out.push_back(attempt);
+                ++attempts_by_host[attempt.host];
+                in_flight.push_back(attempt);
             }
         }
-        return count;
+        return attempts_by_host;
     };
     run(10s);
     HostEntry cold = host("c");
@@ -134,7 +134,7 @@
     EXPECT_GT(attempts_at_a, 150);
 }
 
-TEST(SlowStart, ARestartWithAReportedStartInTheFutureExtendsNoSlowStart) {
+TEST(SlowStart, AReportedStartInTheFutureDoesNotExtendTheSlowStart) {
     TwoHostGateway fixture(single_gateway_settings());
     const int warm = fixture.attempts_at_a(400);
     fixture.restart_a(fixture.gateway.now + 1h);
--- a/tests/decision/snapshot_compatibility_test.cpp
+++ b/tests/decision/snapshot_compatibility_test.cpp
@@ -19,9 +19,9 @@
 constexpr Micros host_restarted_at = 28s;
 constexpr Micros restored_at = 30s + 20ms;
 constexpr Micros other_clock_ahead = 1h;
-// Longer than twice the mean response time in the snapshot: attempts that the former process had in flight
-// count as in flight for two mean response times.
-constexpr Micros inherited_attempts_over = 1500ms;
+// After this time, the attempts that the former process had in flight no longer count as in flight. They
+// count for twice the mean response time, which is 293 ms in the snapshot.
+constexpr Micros max_inherited_attempts_time = 1500ms;
 
 constexpr int no_plan = -1;
 enum PlanIndex { metered, concurrent, ceiling, paced };
@@ -275,7 +275,7 @@
     EXPECT_EQ(actions_of<SendAttempt>(without_snapshot.request("in-flight", concurrent)).size(), 1u);
     EXPECT_TRUE(actions_of<SendAttempt>(restored.request("in-flight", concurrent)).empty());
     // The request waits until it is too late to send it.
-    const auto while_waiting = restored.advance(inherited_attempts_over);
+    const auto while_waiting = restored.advance(max_inherited_attempts_time);
     EXPECT_TRUE(actions_of<SendAttempt>(while_waiting).empty());
     EXPECT_EQ(actions_of<RejectRequest>(while_waiting).size(), 1u);
     EXPECT_EQ(actions_of<SendAttempt>(restored.request("in-flight", concurrent)).size(), 1u);
--- a/tests/decision/unit/host_selector_test.cpp
+++ b/tests/decision/unit/host_selector_test.cpp
@@ -20,7 +20,7 @@
         settings.slow_start_capacity = 0.2;
         return settings;
     }
-    Host& list(const std::string& name, const std::string& zone = "near", Micros started = 0us) {
+    Host& add_host(const std::string& name, const std::string& zone = "near", Micros started = 0us) {
         HostsChanged change;
         HostEntry& entry = change.entries.emplace_back();
         entry.host = name;
@@ -43,39 +43,39 @@
 
 TEST_F(HostSelectorTest, TheTwoCheapestHostsAreSelectedTheCheapestFirst) {
     EXPECT_TRUE(selector.select(request).empty());
-    Host& idle = list("idle");
+    Host& idle = add_host("idle");
     EXPECT_EQ(selector.select(request), std::vector<Host*>{&idle});
 
-    Host& busy = list("busy");
+    Host& busy = add_host("busy");
     busy.load.in_flight = 1;
-    Host& far = list("far", "distant");
+    Host& far = add_host("far", "distant");
     far.load.in_flight = 1;
     EXPECT_EQ(selector.select(request), (std::vector<Host*>{&idle, &busy}))
         << "a host in another zone costs more";
 }
 
 TEST_F(HostSelectorTest, AnUnavailableHostIsNotSelected) {
-    list("draining").entry.state = HostState::draining;
-    list("banned").banned = true;
-    list("ejected").outlier.ejected_until = start_time + 1us;
-    list("full").load.in_flight = 2;
+    add_host("draining").entry.state = HostState::draining;
+    add_host("banned").banned = true;
+    add_host("ejected").outlier.ejected_until = start_time + 1us;
+    add_host("full").load.in_flight = 2;
     EXPECT_TRUE(selector.select(request).empty());
 
-    Host& available = list("available");
+    Host& available = add_host("available");
     EXPECT_EQ(selector.select(request), std::vector<Host*>{&available});
 }
 
 TEST_F(HostSelectorTest, ARetryPrefersAHostOtherThanTheLast) {
-    Host& last = list("last");
+    Host& last = add_host("last");
     request.last_host = "last";
     EXPECT_EQ(selector.select(request), std::vector<Host*>{&last});
 
-    Host& other = list("other");
+    Host& other = add_host("other");
     EXPECT_EQ(selector.select(request), (std::vector<Host*>{&other, &last}));
 }
 
 TEST_F(HostSelectorTest, AHostIsNotSelectedIfTheRulesForbidTheAttempt) {
-    Host& host = list("host");
+    Host& host = add_host("host");
     EXPECT_TRUE(selector.may_take(host, request));
 
     request.history.begin_attempt(0, {}, start_time);
@@ -89,18 +89,18 @@
 }
 
 TEST_F(HostSelectorTest, AWarmingHostIsNotSelectedBeforeItsShareIsDue) {
-    Host& warming = list("warming", "near", start_time);
+    Host& warming = add_host("warming", "near", start_time);
     EXPECT_EQ(selector.select(request), std::vector<Host*>{&warming}) << "there is no warm host";
 
-    Host& warm = list("warm");
+    Host& warm = add_host("warm");
     warm.load.in_flight = 1;
     EXPECT_EQ(selector.select(request), std::vector<Host*>{&warm});
 }
 
 TEST_F(HostSelectorTest, TheBestCandidateHasCapacityByItsLoadReportOrItsLimit) {
-    Host& full = list("full");
+    Host& full = add_host("full");
     full.load.in_flight = 2;
-    Host& busy = list("busy");
+    Host& busy = add_host("busy");
     busy.load.in_flight = 1;
     request.candidates = {&full};
     EXPECT_EQ(selector.best_candidate(request), nullptr);
--- a/tests/decision/unit/load_estimator_test.cpp
+++ b/tests/decision/unit/load_estimator_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr double objective_s = 1;
 
-// In a fleet of one gateway, its own attempts are all the requests at a host.
+// In a fleet of one gateway, that gateway's attempts are all the requests at a host.
 struct LoadModules {
     explicit LoadModules(const Settings& settings = fleet_settings(1)) : event(settings) {
         host.entry.host = "host";
--- a/tests/decision/unit/slow_start_test.cpp
+++ b/tests/decision/unit/slow_start_test.cpp
@@ -56,7 +56,7 @@
     EXPECT_FALSE(slow_start.restricts(warming));
 }
 
-TEST_F(SlowStartTest, ARequestIsAdmittedByTheTimeSinceTheHostWasLastConsidered) {
+TEST_F(SlowStartTest, ARequestIsAdmittedOnlyIfTimeHasPassedSinceTheHostWasLastConsidered) {
     const double small_request = 0.001;
     slow_start.update(warm);
     slow_start.update(warming);
--- a/tests/decision/warm_up_limiter_test.cpp
+++ b/tests/decision/warm_up_limiter_test.cpp
@@ -13,8 +13,8 @@
     const auto rejected = actions_of<RejectRequest>(gateway.request(2));
     ASSERT_EQ(rejected.size(), 1u);
     EXPECT_NEAR(rejected[0].retry_after.count(), 1'250'000, 2);
-    const auto repeated =
-        actions_of<RejectRequest>(gateway.request(3));  // the rejected request took no permits
+    // The rejected request took no permits.
+    const auto repeated = actions_of<RejectRequest>(gateway.request(3));
     ASSERT_EQ(repeated.size(), 1u);
     EXPECT_NEAR(repeated[0].retry_after.count(), 1'250'000, 2);
 }
@@ -34,8 +34,8 @@
 TEST(WarmUp, ADelayedRequestIsReleasedByATimer) {
     Settings settings = single_gateway_settings();
     settings.plans[0].rate = 20;
-    settings.plans[0].burst =
-        40;  // stable interval 50 ms: the first of all stored permits costs 150 ms or less
+    // The stable interval is 50 ms. With all permits stored, the first one costs 150 ms or less.
+    settings.plans[0].burst = 40;
     ClockedGateway gateway(settings);
     overload_hosts(gateway);
     EXPECT_EQ(actions_of<SendAttempt>(gateway.request(1)).size(), 1u);
