--- a/src/decision/load_estimator.h
+++ b/src/decision/load_estimator.h
@@ -71,6 +71,7 @@
     void serialize_limit(auto& codec) { codec(common_limit_, attempt_seconds_); }
 
   private:
+    // Lower bounds of the adaptive concurrency limits, in attempts of all gateways at one host.
     static constexpr double min_common_limit = 0.2;
     static constexpr double min_host_limit = 2;
 
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -15,6 +15,7 @@
 constexpr Micros first_ejection = 500ms;
 constexpr Micros longest_ejection = 8s;
 constexpr int max_doublings = 4;
+// A penalty lasts this long and multiplies the host's cost for one traffic class by this factor.
 constexpr Micros penalty_time = 20s;
 constexpr double penalty_cost_factor = 16;
 // A host counts as silent when this many expected responses are missing. A responsive host falls silent for
--- a/tests/decision/host_list_test.cpp
+++ b/tests/decision/host_list_test.cpp
@@ -167,7 +167,7 @@
 
 // Erases 1,000 hosts, one after the other, from an order of `size` hosts and inserts each again, and rebuilds
 // the front after each step. Returns the mean number of comparisons for one host.
-double comparisons_of_a_change(std::size_t size) {
+double comparisons_per_change(std::size_t size) {
     std::vector<ListedHost> hosts(size);
     std::mt19937 random(5);
     std::uint64_t comparisons = 0;
@@ -192,11 +192,12 @@
 }
 
 TEST(HostList, TheComparisonsForOneChangeGrowWithTheLogarithmOfTheNumberOfHosts) {
-    const double small = comparisons_of_a_change(1000), large = comparisons_of_a_change(64000);
-    EXPECT_LT(small, 60);
+    const double with_1000_hosts = comparisons_per_change(1000),
+                 with_64000_hosts = comparisons_per_change(64000);
+    EXPECT_LT(with_1000_hosts, 60);
     // 64 times as many hosts add six levels to a balanced tree. Each change descends twice, and the tree may
     // be out of balance by a factor of two.
-    EXPECT_LT(large - small, 2 * 6 * 2);
+    EXPECT_LT(with_64000_hosts - with_1000_hosts, 2 * 6 * 2);
 }
 
 }  // namespace
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -80,13 +80,14 @@
     fleet.answer_after = 100'000us;
     RequestId id = 0;
     const auto run = [&](Micros span) {  // sends 100 requests a second to four hosts
-        int cold = 0;
+        int attempts_at_d = 0;
         for (Micros passed{0}; passed < span; passed += 10ms) {
             fleet.advance(10ms);
             fleet.request(static_cast<int>(fleet.random() % 300), ++id, 1, 300);
-            for (const auto& [rank, attempt] : std::exchange(fleet.sent, {})) cold += attempt.host == "d";
+            for (const auto& [rank, attempt] : std::exchange(fleet.sent, {}))
+                attempts_at_d += attempt.host == "d";
         }
-        return cold;
+        return attempts_at_d;
     };
     run(15s);
     HostEntry cold = host("d");
--- a/tests/decision/snapshot_compatibility_test.cpp
+++ b/tests/decision/snapshot_compatibility_test.cpp
@@ -20,7 +20,7 @@
 constexpr Micros restored_at = 30s + 20ms;
 constexpr Micros other_clock_ahead = 1h;
 // After this time, the attempts that the former process had in flight no longer count as in flight. They
-// count for twice the mean response time, which is 293 ms in the snapshot.
+// count for twice the mean response time; the mean is 293 ms in the snapshot.
 constexpr Micros max_inherited_attempts_time = 1500ms;
 
 constexpr int no_plan = -1;
