--- a/src/decision/host.h
+++ b/src/decision/host.h
@@ -17,7 +17,7 @@
     Micros ejected_until{0};  // the host gets no requests before this time
     // The host's silence counts from this time: its latest response, or the sending of an attempt while no
     // other one was in flight.
-    Micros last_response_at{0};
+    Micros silent_since{0};
     // The time at which each penalty ends, by traffic class; see OutlierDetector::penalize.
     std::map<int, Micros> penalties;
 };
@@ -68,7 +68,7 @@
         codec.unshifted_time(reported_start);
         codec.unshifted_time(entry.started);
         codec(load.limit, load.response_s, outlier.failures, outlier.ejections, slow_start.considered_at,
-              outlier.last_response_at, outlier.ejected_until, load.recent_outcomes, slow_start.units_sent);
+              outlier.silent_since, outlier.ejected_until, load.recent_outcomes, slow_start.units_sent);
     }
 };
 
--- a/src/decision/host_registry.cpp
+++ b/src/decision/host_registry.cpp
@@ -67,7 +67,7 @@
     slow_start_.remove(host);
     host.load.in_flight = std::exchange(host, Host{}).load.in_flight;
     host.slow_start.considered_at = context_.now();
-    host.outlier.last_response_at = context_.now();
+    host.outlier.silent_since = context_.now();
     host.order_key = name_hash(name + ' ' + std::to_string(context_.settings().rank));
     host.banned = banned_.contains(name);
 }
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -37,7 +37,7 @@
     return penalized ? penalty_cost_factor : 1;
 }
 
-void OutlierDetector::record_response(Host& host) { host.outlier.last_response_at = context_.now(); }
+void OutlierDetector::record_response(Host& host) { host.outlier.silent_since = context_.now(); }
 
 void OutlierDetector::record_outcome(Host& host, const AttemptEnded& ended) {
     switch (ended.outcome) {
@@ -48,7 +48,7 @@
         case Outcome::timeout:
             // A timeout counts as a failure only if the host was silent throughout the attempt. This keeps
             // clients with short timeouts and costly requests from ejecting healthy hosts.
-            if (host.outlier.last_response_at + ended.elapsed < context_.now()) record_failures(host, 1);
+            if (host.outlier.silent_since + ended.elapsed < context_.now()) record_failures(host, 1);
             break;
         case Outcome::error:
         case Outcome::reset:
@@ -91,7 +91,7 @@
 }
 
 bool OutlierDetector::eject_if_silent(Host& host, Micros sent_at, double objective_s) {
-    const double silent_s = to_seconds(context_.since(std::max(host.outlier.last_response_at, sent_at)));
+    const double silent_s = to_seconds(context_.since(std::max(host.outlier.silent_since, sent_at)));
     const double missing_responses = host.load.in_flight * silent_s / load_.typical_response_s(host);
     if (missing_responses < missing_responses_to_eject || silent_s < min_check_share * objective_s)
         return false;
