--- a/src/decision/host.h
+++ b/src/decision/host.h
@@ -15,8 +15,8 @@
     int failures = 0;         // consecutive failures
     int ejections = 0;        // ejections since the last success
     Micros ejected_until{0};  // the host gets no requests before this time
-    // The host's silence counts from this time: its latest response, or the sending of an attempt while no
-    // other one was in flight.
+    // The host's silence counts from this time: its latest response, the latest sending of an attempt while
+    // no other one was in flight, or the latest reset of its state.
     Micros silent_since{0};
     // The time at which each penalty ends, by traffic class; see OutlierDetector::penalize.
     std::map<int, Micros> penalties;
