--- a/src/json/fields.h
+++ b/src/json/fields.h
@@ -27,7 +27,7 @@
           name_(name),
           expected_(expected) {}
 
-    // The JSON key of the value, or its name in the message that contains it.
+    // The JSON key of the value, or the name by which the error message identifies a value without a key.
     [[nodiscard]] const std::string& name() const noexcept { return name_; }
     // A description of the values that are accepted.
     [[nodiscard]] const std::string& expected() const noexcept { return expected_; }
--- a/src/server/discovery.cpp
+++ b/src/server/discovery.cpp
@@ -28,7 +28,7 @@
 // Discovery regards a change as delivered to a gateway that has made no call for this number of configured
 // poll intervals.
 constexpr int poll_intervals_after_failure = 4;
-// Allows for delays of the event loop.
+// Subtracted from the limits of the response timeout and the backoff, to allow for delays of the event loop.
 constexpr auto poll_margin = 50ms;
 // Limits the time from the first byte of a response to its last.
 constexpr auto max_response_duration = 2s;
@@ -39,8 +39,8 @@
 constexpr std::size_t max_unread_bytes = max_header_bytes + 64 * 1024;
 }  // namespace
 
-// The time from a failed call to the next one is the response timeout plus the backoff. Each of them is
-// limited to half of the time that `max_poll_interval` allows, less the margin.
+// The time from the start of a failed poll to the next call is the response timeout plus the backoff. Each of
+// them is limited to half of the time that `max_poll_interval` allows, less the margin.
 WatchTiming Discovery::timing_for(int gateways, bool pushed, std::chrono::microseconds max_poll_interval) {
     if (pushed)
         return {WatchTiming{}.hold,        pushed_list_response_timeout, pushed_list_response_timeout,
@@ -81,7 +81,7 @@
       backoff_timer_(io),
       buffer_(max_unread_bytes),
       version_(known_version) {
-    poll();
+    start_call();
 }
 void Discovery::stop() {
     stopped_ = true;
@@ -101,9 +101,9 @@
     backoff_timer_.cancel();
     // The stream allows one operation at a time. If one is pending, the close above aborts it, and its
     // handler starts the poll.
-    if (!operation_pending_) poll();
+    if (!operation_pending_) start_call();
 }
-// Closes the stream and starts a new generation, by which pending handlers recognise that their connection is
+// Closes the stream and increments the generation, so that pending handlers detect that their connection is
 // closed.
 void Discovery::reset_connection() {
     ++generation_;
@@ -113,16 +113,16 @@
 }
 
 // Called when an operation on the stream completes. Returns whether the operation belongs to the current
-// connection. If it belongs to an earlier one, starts a poll on the current connection and returns false.
+// connection. If it belongs to an earlier one, starts a call on a new connection and returns false.
 bool Discovery::finish_operation(std::size_t generation) {
     operation_pending_ = false;
     if (stopped_) return false;
     if (generation == generation_) return true;
-    poll();
+    start_call();
     return false;
 }
 
-void Discovery::poll() {
+void Discovery::start_call() {
     if (stopped_) return;
     stream_.expires_after(response_timeout_);
     if (connected_) return send_request();
@@ -138,8 +138,9 @@
 }
 
 void Discovery::send_request() {
-    // After a timeout, an agent that answers without delay is polled: a watch would neither show that the
-    // agent responds again nor confirm the known list until the next change.
+    // After a failed call, an agent that answers without delay is polled. A watch would show that the agent
+    // responds again, and confirm the known list, only when it is answered: at the next change or at the end
+    // of the hold time.
     is_watch_ = version_ && agent_has_answered_ && !(failing_ && timing_.agent_answers_at_once);
     const auto hold = is_watch_ ? timing_.hold : 0ms;
     request_ = "GET /catalog/members";
@@ -220,12 +221,12 @@
     const bool versions_restarted = !list.complete && version_ && list.version < *version_;
     if (versions_restarted) {
         version_.reset();
-        return poll();
+        return start_call();
     }
     agent_has_answered_ = true;
     version_ = list.version;
     on_list_(list);
-    poll();
+    start_call();
 }
 
 // Logs the first of consecutive failures. After a failure that may have lost a change, the next call polls
@@ -238,18 +239,18 @@
     // Discovery regards the changes that a timed-out watch misses as delivered after some seconds, so the
     // next call is made without a backoff.
     if (failure == Failure::timed_out && (timing_.agent_answers_at_once || (first_failure && is_watch_)))
-        return poll();
+        return start_call();
     if (failure == Failure::timed_out)
         response_timeout_ = std::min(timing_.max_response_timeout, response_timeout_ * 2);
-    // Half of the backoff is random, so that gateways that failed at the same time do not retry at the same
-    // time.
+    // The delay is random, between half and one and a half times the backoff, so that gateways whose calls
+    // failed at the same time do not retry at the same time. A backoff that does not grow has no jitter.
     const auto half = std::chrono::duration_cast<std::chrono::microseconds>(backoff_) / 2;
     const bool steady = timing_.initial_backoff == timing_.max_backoff;
     const auto jitter = half * static_cast<int>(random_() % 1024) / 512;
     backoff_timer_.expires_after(steady ? 2 * half : half + jitter);
     backoff_ = std::min(timing_.max_backoff, backoff_ * 2);
     backoff_timer_.async_wait([this, at = generation_](error_code cancelled) {
-        if (!cancelled && at == generation_) poll();
+        if (!cancelled && at == generation_) start_call();
     });
 }
 
--- a/src/server/discovery.h
+++ b/src/server/discovery.h
@@ -1,4 +1,7 @@
 // The client of the discovery service: polls and watches the endpoint list.
+//
+// The calls go to the agent, the local endpoint of discovery. The agent answers a poll without holding it. It
+// holds a watch until the list changes, but no longer than the hold time of the call.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -41,11 +44,12 @@
   public:
     using OnList = std::function<void(const EndpointList&)>;
 
-    // Returns the timing for a fleet of `gateways`. If `pushed`, the agent has the lists at hand and answers
-    // without delay, and the gateway has to notice within the grace period of a drain that the agent responds
-    // again after a timeout. Otherwise lists are polled from discovery, which many gateways can overload, so
-    // that it rejects calls or gateways abandon them before they are served. After a failed call, the next
-    // one is made within four times `max_poll_interval`; 0 sets no limit.
+    // Returns the timing for a fleet of `gateways` gateways. `pushed`: the agent has the lists at hand and
+    // answers without delay. After a timeout, a gateway then has to notice within the grace period of a drain
+    // that the agent responds again. If not `pushed`, lists are polled from discovery. Many gateways can
+    // overload discovery with calls that it rejects or that they abandon before they are served.
+    // `max_poll_interval` applies to polled lists only: after a failed call, the next one is due within four
+    // times this interval; 0 sets no limit.
     [[nodiscard]] static WatchTiming timing_for(int gateways, bool pushed,
                                                 std::chrono::microseconds max_poll_interval = {});
 
@@ -65,7 +69,8 @@
     enum class Failure { connection_lost, overloaded, timed_out };
 
     [[nodiscard]] static WatchTiming polling_timing(int gateways);
-    void poll();
+    // Starts the next call, a poll or a watch.
+    void start_call();
     void send_request();
     void write_request(std::size_t from);
     void read_response();
@@ -95,10 +100,11 @@
     bool failing_ = false;  // whether the last call failed
     bool stopped_ = false;
     bool is_watch_ = false;  // whether the current call is a watch and not a poll
-    // Whether the current agent has answered with a list, which may be empty.
+    // Whether the current agent has answered with a list. The list is empty if nothing has changed since the
+    // known version.
     bool agent_has_answered_ = false;
     bool operation_pending_ = false;  // whether an asynchronous operation is pending on the stream
-    // Number of the current connection, by which handlers recognise that they belong to an earlier one.
+    // Number of the current connection. Handlers compare it to detect that they belong to an earlier one.
     std::size_t generation_ = 0;
 };
 
--- a/src/server/host_connection.cpp
+++ b/src/server/host_connection.cpp
@@ -19,7 +19,8 @@
 namespace {
 // Delay before a connect is retried after a local failure.
 constexpr std::chrono::milliseconds connect_retry_backoff = 10ms;
-// A streamed response is aborted if its host sends nothing for this long.
+// A streamed response is aborted if its host sends nothing for this long while the gateway is ready to read.
+// The client's side of the response is limited by client_limits::write_timeout.
 constexpr std::chrono::milliseconds stall_timeout = 10s;
 // The request buffer of an idle connection is released if its capacity exceeds this.
 constexpr std::size_t max_idle_buffer_bytes = 4096;
--- a/src/server/host_connection.h
+++ b/src/server/host_connection.h
@@ -73,7 +73,7 @@
     [[nodiscard]] const boost::asio::ip::tcp::endpoint& endpoint() const { return endpoint_; }
     // When the connection became idle. Requires that it is idle.
     [[nodiscard]] Steady::time_point idle_since() const { return phase_started_at_; }
-    // Whether the current or last exchange is this attempt.
+    // Whether the current exchange, or the last one if none is in flight, belongs to this attempt.
     [[nodiscard]] bool carries(const AttemptKey& key) const { return !is_health_check_ && key == key_; }
     [[nodiscard]] bool carries_attempt_of(std::uint64_t request) const {
         return !is_health_check_ && request == key_.request;
@@ -83,7 +83,8 @@
         return state_ == State::connecting || state_ == State::writing;
     }
     // Whether the connection became idle at `time` or earlier. Always true if the last exchange was a health
-    // check, because a host answers a health check only once and independently of its other work.
+    // check: a host answers a health check independently of its other work and only once, so that no second
+    // response can follow.
     [[nodiscard]] bool idle_since_before(Steady::time_point time) const {
         return is_health_check_ || phase_started_at_ <= time;
     }
@@ -101,7 +102,7 @@
     void cancel() { finish_without_response(HostOutcome::cancelled); }
     // Ends the exchange if its request is unsent.
     void end_if_unsent(HostOutcome outcome);
-    // Continues to read a streamed response, after its last piece has been forwarded.
+    // Continues to read a streamed response after the piece that was received last has been forwarded.
     void resume_reading();
 
     // Takes over the socket of an idle connection of another process. Returns false if it can't be used.
@@ -156,7 +157,7 @@
     std::chrono::microseconds time_to_stream_start_{0};
     // Start of the exchange, or of the idle time if the connection is idle.
     Steady::time_point phase_started_at_;
-    Steady::time_point deadline_;  // of the exchange
+    Steady::time_point deadline_;  // of the exchange, until its response is streamed
     State state_ = State::fresh;
 };
 
--- a/src/server/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -183,11 +183,11 @@
 }
 
 void HostPool::attempt(const AttemptKey& key, const std::string& uid, Request& message,
-                       std::chrono::microseconds within) {
+                       std::chrono::microseconds timeout) {
     HostResult not_sent;
     const auto connection = acquire(uid, not_sent.outcome);
     if (!connection) return callbacks_.on_attempt(key, uid, std::move(not_sent));
-    connection->send_attempt(key, message, within);
+    connection->send_attempt(key, message, timeout);
 }
 
 void HostPool::probe(const std::string& uid) {
--- a/src/server/host_pool.h
+++ b/src/server/host_pool.h
@@ -58,9 +58,9 @@
     // Bans a host or lifts its ban, as operators request. Ends the attempts at a banned host if their request
     // is unsent. Endpoint lists do not lift a ban.
     void ban(const std::string& uid, bool banned);
-    // Sends the request to the host. The attempt times out after `within`.
+    // Sends the request to the host. The attempt times out after `timeout`.
     void attempt(const AttemptKey& key, const std::string& uid, Request& message,
-                 std::chrono::microseconds within);
+                 std::chrono::microseconds timeout);
     // Ends the attempt with the outcome `cancelled`. Does nothing if the attempt is not in flight.
     void cancel(const AttemptKey& key);
     // Ends the attempts of the request that are unsent, with the outcome `withdrawn`.
--- a/src/server/peer_link.cpp
+++ b/src/server/peer_link.cpp
@@ -6,8 +6,8 @@
 
 namespace gateway::server {
 namespace {
-// Returns a socket that is bound to the address. Sets SO_REUSEPORT, because during an upgrade the successor
-// binds the same address if this process does not answer it.
+// Returns a socket that is bound to the address. Sets SO_REUSEPORT, so that during an upgrade the successor
+// can bind the same address itself if it gets no answer from this process and so does not receive the socket.
 int bind_socket(const PeerLink::Endpoint& listen) {
     boost::asio::io_context io;
     boost::asio::ip::udp::socket socket(io, listen.protocol());
--- a/src/server/reasons.h
+++ b/src/server/reasons.h
@@ -40,7 +40,7 @@
 enum class ClientCloseReason {
     closed_by_client,  // the client closed the connection, or the connection failed
     write_failed,      // a response could not be written
-    response_aborted,  // a streamed response is incomplete, which the client detects by the close
+    response_aborted,  // a streamed response failed at its host, which the client detects by the reset
     linger_timeout,    // closed by the gateway after its last response
     timeout,           // the client did not read its response, or sent nothing, for too long
     evicted,           // the descriptor is needed for another connection
--- a/src/simulator_adapter/message.h
+++ b/src/simulator_adapter/message.h
@@ -12,7 +12,7 @@
 namespace gateway::simulator {
 
 // The values of a message, or of a record in a message, by position. Position 0 is the first value after the
-// message name.
+// message name, or the first value of the record.
 class Fields {
   public:
     // Appends a value. Values beyond `max_count` are dropped, because no message of the protocol has that
--- a/src/simulator_adapter/simulator_wire.h
+++ b/src/simulator_adapter/simulator_wire.h
@@ -1,9 +1,9 @@
 // Implements the simulator's protocol: reads and writes JSON lines and runs one instance of the decision
 // module for each gateway of the simulated fleet.
 //
-// A line is a JSON array of a message name and values. A batch begins with a Turn line, which sets the clock.
-// It ends with an EofBatch line, for which the reply with the actions of the batch is written. Unknown
-// messages and surplus values are ignored.
+// A line is a JSON array of a message name and values. A batch begins with a Turn line, which sets the clock,
+// and ends with an EofBatch line, which is answered with the actions of the batch. Unknown messages and
+// surplus values are ignored.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +25,7 @@
     std::uint64_t line_number_;
 };
 
-// The simulator's end point in this process. Owns the instances of the decision module.
+// The gateways' side of the simulator's protocol. Owns the instances of the decision module.
 class SimulatorWire {
   public:
     SimulatorWire();
--- a/tests/server/admin_server_test.cpp
+++ b/tests/server/admin_server_test.cpp
@@ -55,19 +55,20 @@
 }
 
 TEST_F(AdminServerTest, AnswersWithinASecondDespiteSilentAndIncompleteRequests) {
-    std::vector<std::unique_ptr<Client>> silent;
+    std::vector<std::unique_ptr<Client>> unfinished_callers;
     for (int i = 0; i < 40; ++i) {
-        silent.push_back(std::make_unique<Client>(io, admin.local_endpoint()));
+        unfinished_callers.push_back(std::make_unique<Client>(io, admin.local_endpoint()));
         if (i % 2)
-            silent.back()->say("POST /maintenance/enter HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\ns-");
+            unfinished_callers.back()->say(
+                "POST /maintenance/enter HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\ns-");
     }
     const auto start = std::chrono::steady_clock::now();
     EXPECT_EQ(status_of(post("/standby")), 200u);
     EXPECT_LT(std::chrono::steady_clock::now() - start, 500ms);
     EXPECT_EQ(calls.size(), 1u);
     // An incomplete request is answered with status 408 in time.
-    EXPECT_TRUE(run_until(io, [&] { return silent[39]->ended(); }));
-    EXPECT_EQ(silent[39]->answers().at(0).result_int(), 408u);
+    EXPECT_TRUE(run_until(io, [&] { return unfinished_callers[39]->ended(); }));
+    EXPECT_EQ(unfinished_callers[39]->answers().at(0).result_int(), 408u);
     EXPECT_LT(std::chrono::steady_clock::now() - start, 1s);
 }
 
--- a/tests/server/discovery_test.cpp
+++ b/tests/server/discovery_test.cpp
@@ -55,9 +55,9 @@
     std::size_t written = 0;
     bool connection_ended = false;
     std::function<void()> write_more = [&] {
-        asio::async_write(connection, asio::buffer(text), [&](error_code ec, std::size_t n) {
+        asio::async_write(connection, asio::buffer(text), [&](error_code ec, std::size_t bytes) {
             text.assign(65536, '1');
-            written += n;
+            written += bytes;
             if (ec) connection_ended = true;
             else write_more();
         });
@@ -230,14 +230,14 @@
     const std::string body = list_body(7, true, "ready");
     constexpr std::size_t pieces = 6;
     std::size_t pieces_sent = 0;
-    asio::steady_timer next(io);
+    asio::steady_timer next_piece_timer(io);
     std::function<void(Server::Peer&)> send_piece = [&](Server::Peer& peer) {
         if (peer.closed || pieces_sent == pieces) return;
         peer.say(body.substr(pieces_sent * body.size() / pieces,
                              (pieces_sent + 1) * body.size() / pieces - pieces_sent * body.size() / pieces));
         ++pieces_sent;
-        next.expires_after(60ms);
-        next.async_wait([&, peer = peer.shared_from_this()](error_code) { send_piece(*peer); });
+        next_piece_timer.expires_after(60ms);
+        next_piece_timer.async_wait([&, peer = peer.shared_from_this()](error_code) { send_piece(*peer); });
     };
     Server agent(io, [&](Server::Peer& peer) {
         if (pieces_sent > 0) return;
--- a/tests/server/host_pool_test.cpp
+++ b/tests/server/host_pool_test.cpp
@@ -36,27 +36,27 @@
         return *created;
     }
     // Applies a list that contains one host.
-    void update_host(const tcp::endpoint& at, EndpointState state = EndpointState::ready,
+    void update_host(const tcp::endpoint& address, EndpointState state = EndpointState::ready,
                      const std::string& uid = "h") {
         Endpoint listed;
         listed.uid = uid;
-        listed.address = at;
+        listed.address = address;
         listed.state = state;
         pool().update({1, false, {listed}});
     }
     // Sends the first attempt of a request to the host "h".
-    void send(std::uint64_t id, std::chrono::microseconds within = 15s) {
+    void send(std::uint64_t id, std::chrono::microseconds timeout = 15s) {
         Request message(http::verb::get, "/api?q=1", 11);
         std::string trace("t");
         message.set("X-Trace-Id", trace.append(std::to_string(id)));
-        pool().attempt({id, 0}, "h", message, within);
+        pool().attempt({id, 0}, "h", message, timeout);
     }
     // Returns the outcome of one attempt at a host with this handler.
-    HostOutcome outcome(Server::Handler handler, std::chrono::microseconds within = 15s) {
+    HostOutcome outcome(Server::Handler handler, std::chrono::microseconds timeout = 15s) {
         Server host(io, std::move(handler));
         update_host(host.endpoint());
         const std::size_t before = results.size();
-        send(before + 1, within);
+        send(before + 1, timeout);
         EXPECT_TRUE(run_until(io, [&] { return results.size() > before; }));
         return results.back().result.outcome;
     }
@@ -256,7 +256,7 @@
 
 // A truncated body must never be treated as complete. A body without a length is complete at the end of the
 // stream, unless the connection is reset.
-TEST_F(HostPoolTest, APossiblyIncompleteBodyIsAReset) {
+TEST_F(HostPoolTest, AnAttemptWithAPossiblyIncompleteBodyEndsAsReset) {
     EXPECT_EQ(outcome([](auto& peer) {
                   peer.say("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
                   peer.close();
--- a/tests/server/system_call_test.cpp
+++ b/tests/server/system_call_test.cpp
@@ -127,9 +127,9 @@
     EXPECT_FALSE(server.accept_backlog());
 }
 
-// While no descriptor is free, a connection in the backlog keeps the handover socket readable. Accepting it
-// again without a delay would be a busy loop.
-TEST(FailingAccepts, AFailedAcceptOfTheSuccessorIsRetriedWithADelay) {
+// While no descriptor is free, a connection in the backlog keeps the handover socket readable. Retrying
+// the accept without a delay would be a busy loop.
+TEST(FailingAccepts, AFailedAcceptOfASuccessorsConnectionIsRetriedWithADelay) {
     asio::io_context io;
     const std::filesystem::path folder = Program::make_folder();
     HandoverSocket handover_socket(io, folder.string(), "x");
