--- a/src/server/endpoint_list.h
+++ b/src/server/endpoint_list.h
@@ -18,8 +18,8 @@
     std::string uid;                         // the host's unique name
     boost::asio::ip::tcp::endpoint address;  // may be unset for a host that is gone
     std::string zone;
-    std::string kind;
-    std::int64_t cell = 0;
+    std::string kind;       // model of the host
+    std::int64_t cell = 0;  // number of the host group that is the narrowest deduplication scope
     EndpointState state = EndpointState::ready;
     double weight = 1;         // capacity relative to other hosts
     std::int64_t boot_ms = 0;  // Unix time of the host's last start, in ms; 0: long ago
--- a/src/server/host_response_reader.h
+++ b/src/server/host_response_reader.h
@@ -18,7 +18,7 @@
     enum class Progress {
         incomplete,  // the response needs more bytes
         complete,    // the response is complete and can be released
-        malformed,   // the bytes are not a valid response
+        malformed,   // the bytes are not a response that the gateway accepts
     };
 
     HostResponseReader();
--- a/src/server/host_result.h
+++ b/src/server/host_result.h
@@ -1,4 +1,4 @@
-// Identifies attempts and reports the results of attempts and health checks.
+// The keys of attempts, and the results of attempts and health checks.
 #pragma once
 
 #include <chrono>
--- a/src/simulator_adapter/message.h
+++ b/src/simulator_adapter/message.h
@@ -15,8 +15,8 @@
 // message name, or the first value of the record.
 class Fields {
   public:
-    // Appends a value. Values beyond `max_count` are dropped, because no message of the protocol has that
-    // many.
+    // Appends a value. Values beyond `max_count` are dropped, because no message that this program knows has
+    // that many.
     void append(json::element value) noexcept;
     // Returns the value at a position, which may be null. Throws json::BadValue, which contains `name`, if
     // there is no such position.
