--- a/bench/scale/discovery_stub.cpp
+++ b/bench/scale/discovery_stub.cpp
@@ -87,7 +87,7 @@
 std::string DiscoveryStub::make_change() {
     ++version_;
     ++changes_sent_;
-    // Each chosen host changes twice: first to draining, then back to ready.
+    // Each selected host changes twice in a row: first to draining, then back to ready.
     const int host = (version_ / 2) * changed_host_distance % hosts_;
     return R"({"rev":)" + std::to_string(version_) + R"(,"all":false,"targets":[)" +
            host_json(host, version_ % 2 == 0 ? "draining" : "ready") + "]}";
--- a/bench/scale/discovery_stub.h
+++ b/bench/scale/discovery_stub.h
@@ -20,7 +20,7 @@
 // for changes gets one changed host after a fixed interval.
 class DiscoveryStub {
   public:
-    // Lists `hosts` hosts and answers `changes_per_s` polls for changes per second.
+    // Lists `hosts` hosts. Delays the response to each poll for changes by 1/`changes_per_s` seconds.
     DiscoveryStub(boost::asio::io_context& io, int hosts, double changes_per_s);
 
     // Returns the TCP port on 127.0.0.1 that the stub listens on.
@@ -44,7 +44,7 @@
     void handle_request(const std::shared_ptr<Session>& session);
     void respond(const std::shared_ptr<Session>& session, std::string body);
     [[nodiscard]] std::string make_complete_list() const;
-    // Increments the list version and returns a change of one host as JSON.
+    // Increments the list version and returns the change of one host as JSON.
     [[nodiscard]] std::string make_change();
 
     boost::asio::ip::tcp::acceptor acceptor_;
--- a/bench/scale/fleet.cpp
+++ b/bench/scale/fleet.cpp
@@ -16,7 +16,7 @@
 
 constexpr int zones = 15;
 constexpr int listed_hosts = 200;
-// Upper limit of the number of gateways that one tenant's requests arrive at.
+// Upper limit of the number of gateways that receive the requests of one tenant.
 constexpr int max_gateways_per_tenant = 4;
 constexpr Micros min_message_delay = 2700us;
 constexpr Micros max_message_delay = 21ms;
--- a/bench/scale/fleet.h
+++ b/bench/scale/fleet.h
@@ -50,14 +50,14 @@
     // An entry of the event queue: either an event for a gateway or the arrival of a new request.
     struct Scheduled {
         decision::Micros at;
-        // Sequence number of scheduling, which orders entries of equal time.
+        // Sequence number of the entry, which orders entries of equal time.
         std::uint64_t order;
         int gateway;
         bool is_arrival;
         // Null when `is_arrival` is set.
         std::shared_ptr<decision::Event> event;
-        // Inverted, because std::priority_queue returns its greatest element first: the earliest entry is the
-        // greatest.
+        // The earliest entry compares as the greatest, because std::priority_queue returns its greatest
+        // element first.
         bool operator<(const Scheduled& other) const noexcept {
             return at != other.at ? at > other.at : order > other.order;
         }
--- a/bench/scale/fleet_sweep.cpp
+++ b/bench/scale/fleet_sweep.cpp
@@ -11,7 +11,7 @@
 namespace gateway::scale {
 namespace {
 
-// IPv4 and UDP headers of one datagram.
+// Size of the IPv4 and UDP headers of one datagram.
 constexpr double datagram_header_bytes = 28;
 constexpr double bytes_per_megabyte = 1e6;
 
--- a/bench/scale/gateway_process.h
+++ b/bench/scale/gateway_process.h
@@ -21,10 +21,11 @@
 
     // The functions below throw std::runtime_error if the process has ended.
 
-    // Returns the user and system time used so far, in seconds.
+    // Returns the user and system time that the process has used so far, in seconds.
     [[nodiscard]] double cpu_seconds() const;
-    // Return the current and the peak resident memory, in megabytes (10^6 bytes).
+    // Returns the current resident memory, in megabytes (10^6 bytes).
     [[nodiscard]] double memory_mb() const { return status_mb("VmRSS:"); }
+    // Returns the peak resident memory, in megabytes (10^6 bytes).
     [[nodiscard]] double peak_memory_mb() const { return status_mb("VmHWM:"); }
 
   private:
--- a/bench/scale/host_sweep.cpp
+++ b/bench/scale/host_sweep.cpp
@@ -44,7 +44,7 @@
     double memory_mb = 0;
 };
 
-// One instance of the decision module with its simulated clock and the actions returned for the latest event.
+// One instance of the decision module with its simulated clock and the actions that the latest event caused.
 class Instance {
   public:
     explicit Instance(std::uint64_t seed) : gateway_(module_settings(0, gateways), seed, now_) {}
@@ -92,8 +92,8 @@
     return list;
 }
 
-// Sends a request through the instance and, if the instance forwards it at once, answers it with success.
-// Returns the processor time used, in seconds.
+// Passes a request to the instance. If the instance sends it to a host at once, reports the success of that
+// attempt. Returns the processor time used, in seconds.
 double serve_request(Instance& instance, RequestId id) {
     RequestArrived request;
     request.id = id;
@@ -143,7 +143,8 @@
     HostCosts costs;
     const std::size_t heap_before = heap_bytes();
     Instance instance(seed);
-    // HandedOver makes the module set the timer of its periodic clean-up.
+    // The first event makes the module set its heartbeat timer, whose handler also runs the periodic
+    // clean-up.
     instance.handle(HandedOver{false});
     const std::uint64_t clean_up_timer = instance.latest_timer();
     const double list_bytes = load_complete_list(instance, hosts);
--- a/bench/scale/measure.h
+++ b/bench/scale/measure.h
@@ -20,10 +20,10 @@
     double median = 0;
     double maximum = 0;
 };
-// `values` must not be empty.
+// Returns the minimum, median and maximum of `values`, which must not be empty.
 [[nodiscard]] Summary summarize(const std::vector<double>& values);
-// Returns the smallest element that at least `share` (0 to 1) of the elements do not exceed. `values` must
-// not be empty.
+// Returns the element at the position `share` of the sorted values, from 0 for the smallest to 1 for the
+// largest. A position between two elements selects the larger one. `values` must not be empty.
 [[nodiscard]] double quantile(std::vector<double> values, double share);
 
 // A measured value at one size of the fleet.
--- a/bench/scale/module_settings.cpp
+++ b/bench/scale/module_settings.cpp
@@ -5,13 +5,13 @@
 using namespace std::chrono_literals;
 
 namespace {
-// The rates are those of the largest plan at the site of the first deployment.
-// Quota in units per second.
+// Quota in units per second. This rate and burst are those of the largest plan at the site of the first
+// deployment.
 constexpr double plan_rate = 50;
 // Size of the quota's token bucket, in seconds of `plan_rate`.
 constexpr double plan_burst_s = 2;
 constexpr int hosts_per_cell = 8;
-// Numbers start this high so that all host names have the same length.
+// Host numbers start at this value, so that all host names have the same length.
 constexpr int first_host_number = 1000000;
 }  // namespace
 
--- a/bench/scale/report.h
+++ b/bench/scale/report.h
@@ -10,7 +10,7 @@
 
 namespace gateway::scale {
 
-// A result under its name in the output, which ends with the unit.
+// A result and the name under which it is printed. The name ends with the unit.
 struct NamedValue {
     std::string name;
     double value = 0;
@@ -20,7 +20,8 @@
     Summary summary;
 };
 
-// The results at one point of a sweep. Fields and their elements are printed in the order of declaration.
+// The results at one point of a sweep. The fields are printed in the order of their declaration, and the
+// elements of each field in their order in the vector.
 struct Row {
     std::string sweep;
     // Sizes of the fleet at this point.
@@ -31,7 +32,7 @@
     std::vector<NamedSummary> repeat_summaries;
 };
 
-// Prints one row to both streams.
+// Prints one row on standard output and standard error.
 void print(const Row& row, std::uint64_t seed);
 // Prints the exponent with which `value` grows with `size` over the points of a sweep. Prints nothing for
 // fewer than two points.
--- a/bench/scale/sweeps.h
+++ b/bench/scale/sweeps.h
@@ -7,9 +7,10 @@
 
 namespace gateway::scale {
 
-// Gives one instance of the decision module endpoint lists of different lengths. Measures the processor time
-// of a single changed host, of the loss of a whole zone at once, of the periodic clean-up and of a request,
-// and the memory that the list uses.
+// Parameters of the sweep over the number of listed hosts. The sweep passes endpoint lists of different
+// lengths to one instance of the decision module at a time. It measures the processor time for a single
+// changed host, for the loss of a whole zone at once, for the periodic clean-up and for a request, and the
+// memory that the list uses.
 struct HostSweep {
     // Numbers of listed hosts; each is one point of the sweep.
     std::vector<int> hosts{1000, 5000, 20000, 50000, 150000};
@@ -20,9 +21,9 @@
 };
 void run(const HostSweep& sweep);
 
-// Runs many instances of the decision module in one process on a simulated clock. They exchange their real
-// peer messages through a model of the network with delay, loss and a rate limit on the messages that each
-// instance receives.
+// Parameters of the sweep over the number of gateways. The sweep runs many instances of the decision module
+// in one process on a simulated clock. The instances exchange their real peer messages through a model of the
+// network with delay, loss and a rate limit on the messages that each instance receives.
 struct FleetSweep {
     // Numbers of gateways; each is one point of the sweep.
     std::vector<int> gateways{10, 50, 200, 600};
