--- a/tools/fault_soak/bad_client.cpp
+++ b/tools/fault_soak/bad_client.cpp
@@ -10,6 +10,8 @@
 namespace fault_soak {
 namespace {
 
+// The gateway must answer a malformed request or close its connection within `close_timeout`. A violation is
+// reported only after a further `close_margin`.
 constexpr Duration close_timeout = 3s;
 constexpr Duration close_margin = 100ms;
 constexpr std::size_t flood_bytes = std::size_t{4} << 20;
--- a/tools/fault_soak/bad_client.h
+++ b/tools/fault_soak/bad_client.h
@@ -16,8 +16,8 @@
     std::uint64_t variation = 0;
     // Added to time limits, because a busy machine can delay the soak itself.
     Duration slack{100};
-    // Returns whether the gateway process that the client connected to still runs, so that it has to answer
-    // or close.
+    // Returns whether the gateway process that the client connected to still runs. Only a running process has
+    // to answer or to close the connection.
     std::function<bool()> is_gateway_running;
 };
 
--- a/tools/fault_soak/black_hole.h
+++ b/tools/fault_soak/black_hole.h
@@ -1,4 +1,4 @@
-// An address that accepts no connections, for connection attempts that hang.
+// A loopback address at which connection attempts hang.
 #pragma once
 
 #include <cstdint>
--- a/tools/fault_soak/client.cpp
+++ b/tools/fault_soak/client.cpp
@@ -12,12 +12,14 @@
 
 constexpr double mean_think_time_ms = 120;
 constexpr Duration no_gateway_retry_delay = 50ms;
-// One request in `idle_pause_one_in` follows a pause of this length, so that its next request coincides with
-// the close of the idle connection by the gateway.
+// One request in `idle_pause_one_in` is preceded by a pause of this length plus less than
+// `idle_pause_spread_ms` milliseconds, so that the request coincides with the close of the idle connection by
+// the gateway.
 constexpr Duration idle_pause = 9900ms;
 constexpr int idle_pause_spread_ms = 200;
 constexpr int idle_pause_one_in = 150;
-// Each client prefers one gateway and sends it this many of ten requests while it is in rotation.
+// Each client has a preferred gateway. While that gateway is in rotation, the client sends it this many of
+// ten requests and selects a random gateway for each of the others.
 constexpr int preferred_gateway_in_ten = 8;
 constexpr int customers_per_plan = 20;
 // One request in `short_timeout_one_in` gets a timeout of at most `short_timeout_ms` milliseconds.
@@ -30,13 +32,15 @@
 constexpr std::size_t body_bytes = 200;
 constexpr std::size_t large_body_bytes = 20000;
 constexpr int large_body_one_in = 10;
-// How long a client waits for a response beyond the deadline.
+// Time after the deadline of a request during which its client still waits for the response.
 constexpr Duration response_grace = 700ms;
-// The client of one request in this many disconnects before the response. The first number applies while
-// ClientBehaviour::disconnects_early is set, the second one otherwise.
+// For one request in this many, the client disconnects before it receives the response. The first number
+// applies while ClientBehaviour::disconnects_early is set, the second one otherwise.
 constexpr int early_disconnect_one_in = 3;
 constexpr int usual_disconnect_one_in = 25;
+// A client that disconnects early does so within this time after the request.
 constexpr Duration max_time_to_disconnect = 60ms;
+// A client disconnects early only if more than this time is left until the deadline.
 constexpr Duration min_time_left_to_disconnect = 10ms;
 
 std::string hex16(std::uint64_t number) {
@@ -47,7 +51,7 @@
 
 }  // namespace
 
-// A request class, with the same name and idempotency as in the configuration of the gateways.
+// A request class, with the name and idempotency that the configuration of the gateways gives it.
 struct Client::RequestClass {
     Idempotency idempotency;
     const char* method;
@@ -233,8 +237,8 @@
         return;
     }
     socket_.close(ignored);
-    // A response that breaks off after its first bytes counts as failed, not as unanswered: the client can
-    // see that it is incomplete.
+    // A response that breaks off after its first bytes counts as failed and not as unanswered, because the
+    // client can see that the response is incomplete.
     if (parser.got_some()) return oracle_.response_received(request.trace, 0, {}, now);
     closed_unread = reused_;
     if (!closed_unread) oracle_.closed_unanswered(request.trace, now);
--- a/tools/fault_soak/client.h
+++ b/tools/fault_soak/client.h
@@ -46,7 +46,7 @@
     };
     struct RequestClass;
 
-    // Returns the index of a gateway in rotation, or a number below 0 if there is none.
+    // Returns the index of a gateway in rotation, or a number below 0 if none was found.
     int choose_gateway();
     Task connect(int gateway);
     Request draw_request();
@@ -54,13 +54,13 @@
     std::string request_text(const RequestClass& request_class, const std::string& trace, int timeout_ms);
     Task exchange(Request request);
     Task write_in_pieces(Request& request, error_code& error);
-    // Sets `closed_unread` if a reused connection was closed before any byte of the response, in which case
-    // the request may not have been read.
+    // Sets `closed_unread` if a reused connection was closed before any byte of the response arrived. The
+    // gateway may then not have read the request.
     Task await_response(const Request& request, bool& closed_unread);
     // Draws the time at which the client disconnects. `time_left` is the time until the deadline.
     Time draw_disconnect(Duration time_left);
-    // Sends the request once more on a new connection. The gateway may close a persistent connection between
-    // two requests while the next request is on its way, which it then has not read.
+    // Sends the request once more, on a new connection. This is necessary when the gateway closes an idle
+    // connection while the next request is in transit, because the gateway has not read that request.
     Task resend(const Request& request);
     void record_response(const Request& request, error_code error,
                          const http::response_parser<http::string_body>& parser, bool& closed_unread);
@@ -75,7 +75,7 @@
     boost::beast::flat_buffer buffer_;
     // Index of the gateway that the socket is connected to.
     int gateway_ = -1;
-    // Set once a response has been received on the current connection.
+    // Whether a response has been received on the current connection.
     bool reused_ = false;
     std::uint64_t request_count_ = 0;
 };
--- a/tools/fault_soak/discovery_stub.cpp
+++ b/tools/fault_soak/discovery_stub.cpp
@@ -80,8 +80,8 @@
         const std::string target(request.target());
         const std::int64_t since = query_number(target, "from=", HostList::no_version);
         if (since >= 0) co_await wait_for_change(since, Duration(query_number(target, "hold_ms=", 0)));
-        // A connection that was open during a silence gets no response any more and is closed after its next
-        // request.
+        // A connection that was open during a silence gets no further response. The agent closes the
+        // connection when the next request arrives.
         if (faults.silent || silence_count_at_start != faults.silence_count) {
             co_await http::async_read(socket, buffer, request, into(error));
             co_return;
--- a/tools/fault_soak/discovery_stub.h
+++ b/tools/fault_soak/discovery_stub.h
@@ -20,7 +20,7 @@
     bool silent = false;
     // Answers every request with status 503.
     bool rejects = false;
-    // Sends the complete list where the gateway asks for changes.
+    // Sends the complete list even if the gateway requests only the changes.
     bool complete_lists = false;
     // Sends responses in small pieces with pauses between them.
     bool slow = false;
--- a/tools/fault_soak/fault_injector.h
+++ b/tools/fault_soak/fault_injector.h
@@ -11,7 +11,8 @@
 
 namespace fault_soak {
 
-// The coroutines complete when the fault is over and its cause has been removed.
+// Injects the faults of a run. Each coroutine that injects a fault completes when the fault is over and its
+// cause has been removed.
 class FaultInjector {
   public:
     // The testbed must outlive the injector and its coroutines.
@@ -42,8 +43,7 @@
     Task reset_link(Fault fault);
     Task delay_link(Fault fault);
     Task silence_discovery(Fault fault);
-    // Has no effect when lists are pushed, because an agent that has the list at hand never rejects a
-    // request.
+    // Has no effect when lists are pushed, because an agent then has the list at hand and rejects no request.
     Task reject_discovery_requests(Fault fault);
     Task set_agent_fault(Fault fault, bool AgentFaults::*agent_fault);
 
--- a/tools/fault_soak/fault_kinds.cpp
+++ b/tools/fault_soak/fault_kinds.cpp
@@ -81,12 +81,16 @@
     {"wall_clock_step", FaultTarget::other, inject<&Injector::step_wall_clock>},
     // Reads and writes transfer fewer bytes than requested.
     {"short_io", FaultTarget::other, inject<&Injector::shorten_io, often>},
+    // Waits for events on sockets are interrupted with EINTR.
     {"interrupted_waits", FaultTarget::other,
      inject<&Injector::set_shim_rate, &ShimControl::interrupted_waits, often>},
+    // Calls that accept a connection fail.
     {"failing_accepts", FaultTarget::other,
      inject<&Injector::set_shim_rate, &ShimControl::failing_accepts, often>},
+    // Calls that create or connect an IPv4 socket fail.
     {"failing_connects", FaultTarget::other,
      inject<&Injector::set_shim_rate, &ShimControl::failing_connects, seldom>},
+    // Calls that open a file or bind a Unix domain socket fail.
     {"failing_files", FaultTarget::other,
      inject<&Injector::set_shim_rate, &ShimControl::failing_files, often>},
     // Connection attempts never complete.
--- a/tools/fault_soak/fault_proxy.h
+++ b/tools/fault_soak/fault_proxy.h
@@ -15,7 +15,8 @@
 
 // The faults of a link that are active now.
 struct LinkFaults {
-    // The link forwards nothing. Connections that received bytes meanwhile are reset when the fault ends.
+    // The link forwards nothing. Connections on which bytes or a close arrived meanwhile are reset when the
+    // fault ends.
     bool silent = false;
     // Delay of the first bytes of each new connection.
     Duration delay{0};
@@ -23,7 +24,7 @@
 
 class FaultProxy {
   public:
-    // Which gateway opened a connection to a host.
+    // The gateway that opened a connection to a host, and the start of its latest request.
     struct Origin {
         int gateway = -1;
         // Time of the first byte of the latest request.
@@ -35,6 +36,7 @@
     // Returns the addresses at which one gateway reaches the hosts, in the order of the hosts.
     [[nodiscard]] std::vector<std::string> addresses_for(int gateway) const;
     [[nodiscard]] LinkFaults& faults(int gateway, int host) { return link(gateway, host).faults; }
+    // Resets all open connections of a link.
     void reset_connections(int gateway, int host);
     // Returns the origin of the connection that reaches a host from the given source port, or null if the
     // connection does not come from this proxy. The pointer is valid while the connection is open.
@@ -48,6 +50,7 @@
         tcp::socket gateway;
         tcp::socket host;
         Origin origin;
+        // Whether the next bytes from the gateway begin a request.
         bool awaits_request = true;
         void close();
         void reset_both();
--- a/tools/fault_soak/final_checks.h
+++ b/tools/fault_soak/final_checks.h
@@ -11,12 +11,12 @@
 // violations, and processes that do not shut down gracefully.
 Task shut_down_gateways(Testbed& testbed);
 
-// Reports every log line of level error, except that a configuration could not be read, which faults cause on
-// purpose.
+// Reports every log line of level error, except for the event configuration_kept: a gateway logs this event
+// when it cannot read its configuration, which faults cause on purpose.
 void check_logs(Testbed& testbed);
 
-// Returns the lines of all gateway logs that contain the trace id of a request, each with the name of its
-// gateway.
+// Returns the lines of all gateway logs that contain the trace id of a request. Each line starts with the
+// name of the gateway.
 [[nodiscard]] std::string log_lines_of(const Testbed& testbed, const std::string& trace);
 
 }  // namespace fault_soak
--- a/tools/fault_soak/gateway_faults.cpp
+++ b/tools/fault_soak/gateway_faults.cpp
@@ -1,4 +1,4 @@
-// Faults of gateways: restarts, kills, upgrades, reloads and calls of operators.
+// Faults of gateways: restarts, kills, upgrades, pauses, reloads and operators' admin calls.
 #include <csignal>
 #include <fstream>
 
@@ -8,6 +8,7 @@
 namespace fault_soak {
 namespace {
 
+// Time within which the new process of an upgrade must be ready.
 constexpr Duration upgrade_ready_within = 6s;
 // Within this time after SIGHUP, the gateway has switched to the new discovery address, so that the old one
 // is no longer needed.
@@ -31,8 +32,8 @@
     const Time terminated = Clock::now();
     testbed_.oracle.gateway_terminated(fault.gateway, terminated);
     gateway.process->signal(SIGTERM);
-    // The load balancer notices the restart only after a delay. Clients use their connections for as long as
-    // those stay open.
+    // The load balancer notices the restart only after a delay. Clients use their open connections until the
+    // gateway closes them.
     co_await sleep_for(load_balancer_delay);
     testbed_.set_in_rotation(fault.gateway, false);
     co_await await_exit(*gateway.process, terminated + shutdown_time);
@@ -127,8 +128,8 @@
     succeeded = result.code == 200;
 }
 
-// A restarted gateway loses its bans. While this fault holds the gateway as its target, no other fault
-// restarts it.
+// A restarted gateway loses its bans, so no other fault may restart the gateway during the ban. The claim on
+// the target of this fault prevents that.
 Task FaultInjector::ban_host(Fault fault) {
     const std::string uid = testbed_.host_list.hosts()[static_cast<std::size_t>(fault.host)].uid;
     bool succeeded = false;
--- a/tools/fault_soak/host_faults.cpp
+++ b/tools/fault_soak/host_faults.cpp
@@ -6,8 +6,9 @@
 
 // A restarted host stays down for the length of the fault divided by this.
 constexpr int restart_down_time_divisor = 3;
+// Delays of links are shorter than this.
 constexpr std::uint64_t link_delay_limit_ms = 1000;
-// Boot time of a host that has not restarted.
+// The value of `boot_ms` for a host that has not restarted.
 constexpr std::int64_t not_restarted = 0;
 
 std::int64_t unix_ms() {
--- a/tools/fault_soak/host_list.cpp
+++ b/tools/fault_soak/host_list.cpp
@@ -22,7 +22,7 @@
     return "gone";
 }
 
-std::string row_json(const ListedHost& host, std::size_t number, const std::string& address) {
+std::string host_json(const ListedHost& host, std::size_t number, const std::string& address) {
     return concat(R"({"uid":")", host.uid, R"(","endpoint":")", address, R"(","az":")", host.zone,
                   R"(","model":"m","pod_group":)", number / hosts_per_cell, R"(,"state":")",
                   name_of(host.state), R"(","capacity_hint":1,"boot_ms":)", host.boot_ms, "}");
@@ -52,16 +52,16 @@
     std::set<std::size_t> changed;
     for (const auto& [version, host] : changes_)
         if (version > since) changed.insert(host);
-    std::string rows;
+    std::string targets;
     for (std::size_t number = 0; number < hosts_.size(); ++number) {
         const ListedHost& host = hosts_[number];
-        const bool listed = complete ? host.state != HostState::gone : changed.contains(number);
-        if (!listed) continue;
-        if (!rows.empty()) rows.append(1, ',');
-        rows.append(row_json(host, number, addresses[number]));
+        const bool included = complete ? host.state != HostState::gone : changed.contains(number);
+        if (!included) continue;
+        if (!targets.empty()) targets.append(1, ',');
+        targets.append(host_json(host, number, addresses[number]));
     }
-    return concat(R"({"rev":)", version_, R"(,"all":)", complete ? "true" : "false", R"(,"targets":[)", rows,
-                  "]}");
+    return concat(R"({"rev":)", version_, R"(,"all":)", complete ? "true" : "false", R"(,"targets":[)",
+                  targets, "]}");
 }
 
 }  // namespace fault_soak
--- a/tools/fault_soak/host_list.h
+++ b/tools/fault_soak/host_list.h
@@ -25,7 +25,7 @@
 // The endpoint list. Every change increments its version.
 class HostList {
   public:
-    // In place of a version, requests the complete list.
+    // Passed to json() in place of a version to get the complete list.
     static constexpr std::int64_t no_version = -1;
 
     // Creates a list of `hosts` ready hosts, spread over two zones.
@@ -43,7 +43,7 @@
   private:
     std::int64_t version_ = 1;
     std::vector<ListedHost> hosts_;
-    // Version and index of the changed host, for each change.
+    // For each change, the new version of the list and the index of the changed host.
     std::vector<std::pair<std::int64_t, std::size_t>> changes_;
 };
 
--- a/tools/fault_soak/host_stub.cpp
+++ b/tools/fault_soak/host_stub.cpp
@@ -9,7 +9,8 @@
 
 using Outcome = Oracle::HostOutcome;
 
-// Further requests are rejected as not executed.
+// Upper limit of the requests that a host executes at the same time. Further requests are rejected without
+// being executed.
 constexpr int max_in_flight = 6;
 constexpr double mean_work_ms = 15;
 constexpr double mean_slow_work_ms = 400;
@@ -182,7 +183,7 @@
         case 1:
             endless.append(large_body_bytes, '1');
             co_return co_await send(socket, endless);
-        case 2:  // The connection is reset where its close would end the body.
+        case 2:  // A reset takes the place of the close that would end the body.
             co_await send(socket, without_length);
             co_return reset(socket);
         case 3:
--- a/tools/fault_soak/host_stub.h
+++ b/tools/fault_soak/host_stub.h
@@ -19,19 +19,20 @@
     serving,
     // Accepts requests and sends no response until the mode changes.
     hanging,
-    // Resets the connection in place of a response to about every second request.
+    // Resets the connection instead of sending a response to about every second request.
     resetting,
-    // Answers about every second request with 503 without executing it, and the others with 500.
+    // Answers about every second request with status 503 without executing it, and executes the others but
+    // answers them with status 500.
     erroring,
     // Sends truncated, endless, duplicated or unreadable responses.
     corrupting,
     // Takes longer to answer.
     slow,
-    // Resets every connection.
+    // Resets every connection as soon as the host accepts it.
     down,
 };
 
-// One host.
+// The stub of one host.
 class HostStub {
   public:
     // `oracle` must outlive the stub.
@@ -56,6 +57,7 @@
     struct Connection {
         explicit Connection(tcp::socket&& accepted) : socket(std::move(accepted)) {}
         tcp::socket socket;
+        // Whether the connection carries a request now.
         bool busy = false;
         Time last_used = Clock::now();
     };
@@ -84,7 +86,9 @@
     const FaultProxy* proxy_ = nullptr;
     HostMode mode_ = HostMode::serving;
     std::vector<std::weak_ptr<Connection>> connections_;
+    // Number of successful responses so far; makes their bodies unique.
     std::uint64_t served_ = 0;
+    // Number of requests that are being executed now.
     int in_flight_ = 0;
 };
 
--- a/tools/fault_soak/loopback_ports.h
+++ b/tools/fault_soak/loopback_ports.h
@@ -14,7 +14,7 @@
     [[nodiscard]] std::uint16_t allocate();
 
   private:
-    // The port that was tried last.
+    // The port that was checked last.
     std::uint16_t last_;
 };
 
--- a/tools/fault_soak/machine_faults.cpp
+++ b/tools/fault_soak/machine_faults.cpp
@@ -1,4 +1,4 @@
-// Faults of system calls, which the shim in the gateway processes injects, and of clients.
+// Faults of clients, and faults of system calls, which the shim in the gateway processes injects.
 #include "bad_client.h"
 #include "fault_injector.h"
 
@@ -7,7 +7,7 @@
 
 constexpr std::int64_t clock_step_s = 3600;
 constexpr std::uint64_t bad_clients_per_fault = 6;
-// Length of the fault, in place of the planned length.
+// Length of the fault. The planned length is ignored.
 constexpr Duration bad_clients_time = 4s;
 
 }  // namespace
--- a/tools/fault_soak/main.cpp
+++ b/tools/fault_soak/main.cpp
@@ -21,7 +21,7 @@
 
 constexpr int exit_violation = 1;
 constexpr int exit_failure = 2;
-// Upper limit for one run.
+// Upper limit of the violations printed for each seed.
 constexpr std::size_t max_violations_printed = 10;
 
 // The values of the command line options.
--- a/tools/fault_soak/oracle.cpp
+++ b/tools/fault_soak/oracle.cpp
@@ -32,7 +32,7 @@
 // Requests that are sent up to this long after the exit may still have reached the process.
 constexpr Duration exit_notice = 1s;
 constexpr Duration ready_within = 10s;
-// Time from SIGKILL until no connection of the process accepts data any more.
+// Time from SIGKILL until the connections of the process accept no more data.
 constexpr Duration kill_delay = 50ms;
 constexpr unsigned status_ok = 200;
 constexpr unsigned status_too_many_requests = 429;
--- a/tools/fault_soak/oracle.h
+++ b/tools/fault_soak/oracle.h
@@ -112,7 +112,7 @@
     void gateway_terminated(int gateway, Time at);
     // The soak has sent SIGKILL.
     void gateway_killed(int gateway, Time at);
-    // The process has exited. `expected` is false if no fault ended it, which is a violation.
+    // The process has exited. `expected` is false if no fault ended the process, which is a violation.
     void gateway_exited(int gateway, Time at, bool expected);
 
     // Events of discovery and operators.
@@ -135,7 +135,8 @@
     void client_disconnected(const std::string& trace, Time at);
     // The client has received a response. `status` is 0 for a response that broke off.
     void response_received(const std::string& trace, unsigned status, const std::string& body, Time at);
-    // No response is expected any more, and the gateway is not responsible for that.
+    // No response is expected any more, and the gateway is not responsible for the missing response. `reason`
+    // is recorded as an event of the request.
     void excuse(const std::string& trace, const char* reason);
     // The gateway has closed the connection without a response.
     void closed_unanswered(const std::string& trace, Time at);
@@ -204,7 +205,7 @@
         std::optional<Time> slow_start;
         // For each gateway, the time since which it knows that the host is withdrawn.
         std::vector<std::optional<Time>> known_since;
-        // For each gateway, the time of the ban.
+        // For each gateway, the time of the ban. Empty while the gateway has no ban on the host.
         std::vector<std::optional<Time>> banned;
         // Attempts during a slow start, within the last `overload_time`.
         std::vector<Time> recent_attempts;
--- a/tools/fault_soak/plan.cpp
+++ b/tools/fault_soak/plan.cpp
@@ -8,6 +8,7 @@
 namespace fault_soak {
 namespace {
 
+// Time from the start of the load to the first fault.
 constexpr Duration first_fault_at = 1500ms;
 // No fault begins within this time before the end of the load.
 constexpr Duration final_interval_without_new_faults = 5000ms;
--- a/tools/fault_soak/plan.h
+++ b/tools/fault_soak/plan.h
@@ -24,7 +24,7 @@
 // Returns the faults of a run in the order of their start. The last faults end some seconds before the load
 // ends.
 [[nodiscard]] std::vector<Fault> draw_plan(const PlanOptions& options);
-// Returns one line without a line break: start, kind, duration, gateway and host of the fault.
+// Returns the start, kind, duration, gateway and host of the fault as one line without a line break.
 [[nodiscard]] std::string describe(const Fault& fault);
 
 }  // namespace fault_soak
--- a/tools/fault_soak/random.h
+++ b/tools/fault_soak/random.h
@@ -1,5 +1,5 @@
-// The random number generator of the soak. Plans, clients and hosts each have a generator of their own with a
-// fixed seed, so that a plan can be repeated.
+// The random number generator of the soak. The plan, each client and each host have generators of their own,
+// whose seeds derive from the seed of the run, so that a plan can be repeated.
 #pragma once
 
 #include <random>
--- a/tools/fault_soak/soak.h
+++ b/tools/fault_soak/soak.h
@@ -15,10 +15,11 @@
 // One run with one seed.
 class Soak {
   public:
+    // Creates the files, ports and stubs of the run. Throws std::runtime_error if that fails.
     explicit Soak(const SoakOptions& options);
 
-    // Runs the whole plan and then the final checks. Throws std::runtime_error if a gateway cannot be
-    // started.
+    // Runs the whole plan and then the final checks. If the program of a gateway cannot be started, the load
+    // does not begin, and the function returns only after a signal.
     void run();
     [[nodiscard]] const Oracle& oracle() const noexcept { return testbed_.oracle; }
     // Returns the plan as text, one line per fault.
@@ -31,14 +32,15 @@
     // Returns whether a signal ended the run, which makes its results invalid. The destructor kills the
     // gateways.
     [[nodiscard]] bool interrupted() const noexcept { return interrupted_; }
-    // Returns the longest delay of a timer in the event loop of this program. If it exceeds the slack,
-    // violated time limits prove nothing.
+    // Returns the longest delay of a timer in the event loop of this program. If this delay exceeds the
+    // slack, violated time limits prove nothing.
     [[nodiscard]] Duration worst_lateness() const noexcept { return worst_lateness_; }
 
   private:
     Task run_plan();
     Task start_gateways();
     void start_load();
+    // Measures worst_lateness() until the run is over.
     Task watch_lateness();
     // Reports processes that exit although no fault ends them.
     Task watch_processes();
--- a/tools/fault_soak/soak_options.h
+++ b/tools/fault_soak/soak_options.h
@@ -9,7 +9,7 @@
 
 struct SoakOptions {
     PlanOptions plan;
-    // The gateway program.
+    // Path of the gateway program.
     std::filesystem::path program;
     // Shim library to preload into gateways. Empty for none.
     std::filesystem::path shim;
--- a/tools/fault_soak/testbed.cpp
+++ b/tools/fault_soak/testbed.cpp
@@ -9,13 +9,14 @@
 namespace fault_soak {
 namespace {
 
+// Time that a gateway has to become healthy before the wait for it ends.
 constexpr Duration ready_within = 15s;
 constexpr Duration request_timeout = 1s;
 // Time after which a gateway is assumed to know a list that it polls.
 constexpr Duration polled_list_known_after = 6s;
 constexpr OracleSettings gateway_settings;
 constexpr const char* health_request = "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-// Factors that make the seeds of the parts differ.
+// Factors of the run's seed that make the seeds of hosts, clients, gateways and shims differ.
 constexpr std::uint64_t host_seed_factor = 1000;
 constexpr std::uint64_t client_seed_factor = 7919;
 constexpr std::uint64_t gateway_seed_factor = 131;
--- a/tools/fault_soak/testbed.h
+++ b/tools/fault_soak/testbed.h
@@ -28,11 +28,11 @@
 constexpr Duration health_poll_interval = 50ms;
 // Time from SIGTERM or standby until the load balancer takes a gateway out of rotation.
 constexpr Duration load_balancer_delay = 300ms;
-// As in a planned restart on the platform, SIGKILL follows SIGTERM after the longest deadline plus this time.
-// The soak waits for a margin beyond that.
+// In a planned restart on the platform, SIGKILL follows SIGTERM after the longest deadline plus
+// `kill_after_longest_deadline`. The soak waits for another `kill_margin` before it sends SIGKILL.
 constexpr Duration kill_after_longest_deadline = 700ms;
 constexpr Duration kill_margin = 100ms;
-// Time from SIGTERM to SIGKILL.
+// Time from SIGTERM to SIGKILL in the soak.
 constexpr Duration shutdown_time =
     OracleSettings{}.longest_deadline + kill_after_longest_deadline + kill_margin;
 
@@ -55,13 +55,14 @@
     std::unique_ptr<GatewayProcess> former_process;
     // Number of processes started so far.
     int process_count = 0;
-    // Whether a fault is ending, starting, replacing or reconfiguring the process now.
+    // Whether a fault is ending, starting, replacing or reconfiguring the process now. Also set for the rest
+    // of the run after an unexpected exit.
     bool changing = false;
     // Log files of all processes of this gateway.
     std::vector<std::filesystem::path> logs;
 };
 
-// The parts are public because faults act on them directly.
+// Owns the gateways, stubs and clients of one run. They are public because faults act on them directly.
 class Testbed {
   public:
     explicit Testbed(const SoakOptions& soak_options);
@@ -78,7 +79,8 @@
     [[nodiscard]] std::string config_json(int gateway_number, const std::string& admin) const;
     // Waits until the gateway is healthy and puts it into rotation. Takes it out of rotation after a timeout.
     Task await_health(int gateway_number);
-    // Does the same after a start, and reports the time to the oracle, which checks its limit.
+    // Calls await_health() after a start and then reports the current time to the oracle, which checks the
+    // time limit of a start.
     Task await_ready(int gateway_number);
     void set_in_rotation(int gateway_number, bool in_rotation);
     [[nodiscard]] asio::awaitable<HttpResult> send_request(const std::string& address, std::string request);
@@ -86,12 +88,13 @@
     // Changes the state of a host in the endpoint list. `boot_ms` is the Unix time of the restart of the host
     // in milliseconds, or 0 if it has not restarted.
     void change_host(int host, HostState state, std::int64_t boot_ms);
-    // Reports to the oracle that the gateway knows the current list. When lists are pushed, a gateway is
-    // assumed to know the list of its agent at once, unless the agent is silent. Has no effect when lists are
-    // polled.
+    // Reports to the oracle that the gateway knows the list of the time `at`. When lists are pushed, a
+    // gateway is assumed to know the list of its agent at once, unless the agent is silent. Has no effect
+    // when lists are polled.
     void record_pushed_list(int gateway_number, Time at);
-    // Reports to the oracle, after some seconds, that the gateway knows the list. When lists are polled, a
-    // gateway is assumed to know a list some seconds after its agent had the list and could be reached.
+    // Reports to the oracle, after some seconds, that the gateway knows the list of the time `list_time`.
+    // When lists are polled, a gateway is assumed to know a list some seconds after its agent had the list,
+    // unless the agent was silent meanwhile.
     Task record_polled_list(int gateway_number, Time list_time);
 
     const SoakOptions options;
@@ -108,7 +111,7 @@
     std::vector<std::unique_ptr<Client>> clients;
     // Whether discovery pushes endpoint lists to the gateways. Otherwise gateways poll them.
     const bool lists_pushed;
-    // Set when the load is over, so that no coroutine waits for a gateway any more.
+    // Set when the load is over and the responses are due, so that no coroutine waits for a gateway any more.
     bool stopping = false;
 
   private:
--- a/tools/fault_soak/text.h
+++ b/tools/fault_soak/text.h
@@ -7,7 +7,7 @@
 
 namespace fault_soak {
 
-inline void append_to(std::string& text, std::string_view word) { text.append(word); }
+inline void append_to(std::string& text, std::string_view part) { text.append(part); }
 template <class Number, class = std::enable_if_t<std::is_arithmetic_v<Number>>>
 void append_to(std::string& text, Number number) {
     text.append(std::to_string(number));
