--- a/tests/package/main.cpp
+++ b/tests/package/main.cpp
@@ -1,3 +1,5 @@
+// Decides one request with the installed package and prints the address of the host that is to receive the
+// request. The package test of .ci/run checks the printed line.
 #include <gateway/interface.h>
 
 #include <cstdio>
