--- a/bench/scale/fleet.cpp
+++ b/bench/scale/fleet.cpp
@@ -49,7 +49,7 @@
 void Fleet::run_for(double seconds) {
     const Micros until = now_ + Micros(static_cast<std::int64_t>(seconds * micros_per_second));
     while (!queue_.empty() && queue_.top().at <= until) {
-        const Scheduled next = queue_.top();
+        const QueueEntry next = queue_.top();
         queue_.pop();
         now_ = next.at;
         if (next.is_arrival) receive_request(next.gateway);
@@ -93,13 +93,13 @@
     return request;
 }
 
-void Fleet::receive_event(const Scheduled& scheduled) {
-    const bool is_message = std::holds_alternative<MessageArrived>(*scheduled.event);
-    if (is_message && !take_intake_token(*gateways_[scheduled.gateway])) {
+void Fleet::receive_event(const QueueEntry& entry) {
+    const bool is_message = std::holds_alternative<MessageArrived>(*entry.event);
+    if (is_message && !take_intake_token(*gateways_[entry.gateway])) {
         ++counts.intake_drops;
         return;
     }
-    deliver(scheduled.gateway, *scheduled.event);
+    deliver(entry.gateway, *entry.event);
 }
 
 bool Fleet::take_intake_token(SimulatedGateway& gateway) const {
@@ -133,7 +133,7 @@
 
 // Every attempt succeeds after `response_time`.
 void Fleet::send_attempt(int gateway, const SendAttempt& attempt) {
-    ++counts.admitted;
+    ++counts.attempts_sent;
     AttemptEnded ended;
     ended.id = attempt.id;
     ended.host = attempt.host;
--- a/bench/scale/fleet.h
+++ b/bench/scale/fleet.h
@@ -16,8 +16,7 @@
 // Totals over all gateways of a fleet.
 struct FleetCounts {
     std::uint64_t requests = 0;
-    // Attempts sent to hosts.
-    std::uint64_t admitted = 0;
+    std::uint64_t attempts_sent = 0;
     std::uint64_t rejected = 0;
     std::uint64_t messages = 0;
     // Payload bytes of the peer messages, without datagram headers.
@@ -48,7 +47,7 @@
         decision::Micros intake_refilled_at{0};
     };
     // An entry of the event queue: either an event for a gateway or the arrival of a new request.
-    struct Scheduled {
+    struct QueueEntry {
         decision::Micros at;
         // Sequence number of the entry, which orders entries of equal time.
         std::uint64_t order;
@@ -58,7 +57,7 @@
         std::shared_ptr<decision::Event> event;
         // The earliest entry compares as the greatest, because std::priority_queue returns its greatest
         // element first.
-        bool operator<(const Scheduled& other) const noexcept {
+        bool operator<(const QueueEntry& other) const noexcept {
             return at != other.at ? at > other.at : order > other.order;
         }
     };
@@ -67,7 +66,7 @@
     void schedule_arrival(int gateway);
     void receive_request(int gateway);
     [[nodiscard]] decision::RequestArrived draw_request(int gateway);
-    void receive_event(const Scheduled& scheduled);
+    void receive_event(const QueueEntry& entry);
     // Refills the gateway's intake bucket, which fills at the module's `messages_per_s` and holds one
     // second's worth, and takes one token. Returns false when the bucket is empty.
     [[nodiscard]] bool take_intake_token(SimulatedGateway& gateway) const;
@@ -80,7 +79,7 @@
     std::mt19937_64 random_;
     decision::Micros now_ = std::chrono::hours(1);
     std::vector<std::unique_ptr<SimulatedGateway>> gateways_;
-    std::priority_queue<Scheduled> queue_;
+    std::priority_queue<QueueEntry> queue_;
     std::uint64_t next_order_ = 0;
     decision::RequestId next_request_ = 1;
 };
--- a/bench/scale/fleet_sweep.cpp
+++ b/bench/scale/fleet_sweep.cpp
@@ -56,7 +56,7 @@
                  {"requests_per_s", sweep.requests_per_s}};
     row.single_run_values = {
         {"requests", static_cast<double>(counts.requests)},
-        {"sent_share", static_cast<double>(counts.admitted) / static_cast<double>(counts.requests)},
+        {"sent_share", static_cast<double>(counts.attempts_sent) / static_cast<double>(counts.requests)},
         {"messages_per_s", static_cast<double>(counts.messages) / gateway_seconds},
         {"bytes_per_s", bytes_per_second(counts, gateway_seconds)},
         {"intake_drops", static_cast<double>(counts.intake_drops)}};
--- a/tools/fault_soak/fault_proxy.cpp
+++ b/tools/fault_soak/fault_proxy.cpp
@@ -73,8 +73,8 @@
     if (delay > 0ms) co_await delay_first_bytes(pipe, delay);
     co_await forward(link, pipe, Direction::to_host);
     // A later connection may already have reused the port.
-    const auto own = pipes_.find(port);
-    if (own != pipes_.end() && own->second.lock() == pipe) pipes_.erase(own);
+    const auto entry = pipes_.find(port);
+    if (entry != pipes_.end() && entry->second.lock() == pipe) pipes_.erase(entry);
 }
 
 // Records the time at which the gateway wrote the first byte, not the later time at which it is forwarded.
--- a/tools/fault_soak/final_checks.cpp
+++ b/tools/fault_soak/final_checks.cpp
@@ -26,10 +26,10 @@
 
 // Returns the number of rule violations that the gateway's own checks have counted, or unknown_count.
 std::int64_t reported_faults(const std::string& metrics, Duration slack) {
-    const auto all = metric(metrics, "api_gateway_rule_violations_total");
-    const auto late = metric(metrics, "api_gateway_late_answers_total");
-    if (!all || !late) return unknown_count;
-    return slack >= late_response_slack ? *all - *late : *all;
+    const auto violations = metric(metrics, "api_gateway_rule_violations_total");
+    const auto late_responses = metric(metrics, "api_gateway_late_answers_total");
+    if (!violations || !late_responses) return unknown_count;
+    return slack >= late_response_slack ? *violations - *late_responses : *violations;
 }
 
 bool is_reported_fault(const std::string& log_line) {
--- a/tools/fault_soak/host_stub.cpp
+++ b/tools/fault_soak/host_stub.cpp
@@ -24,7 +24,7 @@
 constexpr const char* not_executed_field = "X-Never-Ran: 1\r\n";
 constexpr const char* load_report_field = "Endpoint-Load-Metrics: TEXT outstanding=1, backlog=0\r\n";
 
-std::string head(unsigned status, const std::string& fields, std::size_t length) {
+std::string response_head(unsigned status, const std::string& fields, std::size_t length) {
     return concat("HTTP/1.1 ", status, " X\r\n", fields, "Content-Length: ", length, "\r\n\r\n");
 }
 
@@ -140,7 +140,7 @@
 
 Task HostStub::respond_to_health_check(tcp::socket& socket) {
     co_await wait_while_hanging();
-    co_await send(socket, head(200, load_report_field, 0));
+    co_await send(socket, response_head(200, load_report_field, 0));
 }
 
 Task HostStub::respond(tcp::socket& socket, const AttemptRecord& record) {
@@ -156,24 +156,24 @@
     std::string body = concat(record.trace, ":", number_, ":", served_);
     if (random_() % large_body_one_in == 0) body.append(large_body_bytes, 'x');
     record_outcome(record, Outcome::success, body);
-    co_await send(socket, head(200, load_report_field, body.size()) + body);
+    co_await send(socket, response_head(200, load_report_field, body.size()) + body);
 }
 
 Task HostStub::respond_unexecuted(tcp::socket& socket, const AttemptRecord& record) {
     record_outcome(record, Outcome::not_executed);
-    co_await send(socket, head(503, not_executed_field, 0));
+    co_await send(socket, response_head(503, not_executed_field, 0));
 }
 
 Task HostStub::respond_with_error(tcp::socket& socket, const AttemptRecord& record) {
     record_outcome(record, Outcome::error);
-    co_await send(socket, head(500, "", 0));
+    co_await send(socket, response_head(500, "", 0));
 }
 
 // The responses are assembled from plain strings. Only the last variation records a successful outcome, so
 // that the oracle does not accept a corrupted response as genuine.
 Task HostStub::respond_corrupted(tcp::socket& socket, const AttemptRecord& record) {
     const std::string body = record.trace + ":spoilt";
-    std::string truncated = head(200, "", body.size() + 100) + body;
+    std::string truncated = response_head(200, "", body.size() + 100) + body;
     std::string endless = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;";
     std::string without_length = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body;
     switch (random_() % 5) {
@@ -190,9 +190,9 @@
             co_return co_await send(socket, "nothing that HTTP knows\r\n\r\n");
         default:  // A second response follows some milliseconds after the first.
             record_outcome(record, Outcome::success, body);
-            co_await send(socket, head(200, "", body.size()) + body);
+            co_await send(socket, response_head(200, "", body.size()) + body);
             co_await sleep_for(io_, second_response_delay);
-            co_await send(socket, head(200, "", 6) + "second");
+            co_await send(socket, response_head(200, "", 6) + "second");
     }
 }
 
--- a/tools/fault_soak/oracle.cpp
+++ b/tools/fault_soak/oracle.cpp
@@ -246,11 +246,11 @@
     const auto& withdrawal_known_since = host.known_since[static_cast<std::size_t>(attempt.gateway)];
     const auto& known_since = banned ? banned : withdrawal_known_since;
     if (!known_since || (!banned && !host.withdrawn)) return;
-    const auto late = std::chrono::duration_cast<Duration>(attempt.first_byte_at - *known_since);
-    if (late > settings_.drain_grace + socket_slack + write_delay + settings_.slack)
+    const auto elapsed = std::chrono::duration_cast<Duration>(attempt.first_byte_at - *known_since);
+    if (elapsed > settings_.drain_grace + socket_slack + write_delay + settings_.slack)
         report(Invariant::drain_respected, trace,
-               concat("sent to host ", attempt.host, " ", late.count(), " ms after gateway ", attempt.gateway,
-                      " learned that the host is draining, gone or banned"),
+               concat("sent to host ", attempt.host, " ", elapsed.count(), " ms after gateway ",
+                      attempt.gateway, " learned that the host is draining, gone or banned"),
                attempt.first_byte_at);
 }
 void Oracle::check_slow_start(const std::string& trace, HostHistory& host, Time at) {
@@ -276,12 +276,12 @@
     const bool killed = std::any_of(history.kills.begin(), history.kills.end(), [&](Time kill) {
         return kill + kill_delay >= request.sent && kill <= lost_at;
     });
-    const bool late =
+    const bool sent_too_late =
         std::any_of(history.shutdowns.begin(), history.shutdowns.end(), [&](const auto& shutdown) {
             const auto& [terminated, exited] = shutdown;
             return request.sent > terminated + accept_after_terminate && request.sent <= exited + exit_notice;
         });
-    return killed || late;
+    return killed || sent_too_late;
 }
 
 void Oracle::finish() {
--- a/tools/fault_soak/testbed.cpp
+++ b/tools/fault_soak/testbed.cpp
@@ -99,27 +99,27 @@
 HostStub& Testbed::host_stub(int number) { return *host_stubs[static_cast<std::size_t>(number)]; }
 
 std::string Testbed::config_json(int gateway_number, const std::string& admin) const {
-    const GatewayUnderTest& described = gateways[static_cast<std::size_t>(gateway_number)];
+    const GatewayUnderTest& gateway_under_test = gateways[static_cast<std::size_t>(gateway_number)];
     GatewayConfig config;
     config.number = gateway_number;
     config.gateways = options.plan.gateways;
     config.seed = seed_of(options.plan.seed, gateway_seed_factor, gateway_number);
-    config.listen = described.listen;
+    config.listen = gateway_under_test.listen;
     config.admin = admin;
-    config.discovery = described.agent->address(described.agent_address);
-    config.peer_listen = described.peer_listen;
+    config.discovery = gateway_under_test.agent->address(gateway_under_test.agent_address);
+    config.peer_listen = gateway_under_test.peer_listen;
     for (const GatewayUnderTest& peer : gateways) config.peers.push_back(peer.peer_listen);
-    config.known_list = described.agent->known_list();
+    config.known_list = gateway_under_test.agent->known_list();
     config.lists_pushed = lists_pushed;
     config.may_hedge = options.plan.seed % 2 == 0;
     return to_json(config, gateway_settings);
 }
 
 void Testbed::write_config(int gateway_number, const std::string& admin) const {
-    const GatewayUnderTest& described = gateways[static_cast<std::size_t>(gateway_number)];
-    const std::filesystem::path new_file = described.folder / "config.json.new";
+    const GatewayUnderTest& gateway_under_test = gateways[static_cast<std::size_t>(gateway_number)];
+    const std::filesystem::path new_file = gateway_under_test.folder / "config.json.new";
     std::ofstream(new_file) << config_json(gateway_number, admin);
-    std::filesystem::rename(new_file, described.config);
+    std::filesystem::rename(new_file, gateway_under_test.config);
 }
 
 void Testbed::start_process(int gateway_number, const std::string& admin) {
