--- a/tools/fault_soak/client.cpp
+++ b/tools/fault_soak/client.cpp
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-// A request class, with the name and idempotency that the configuration of the gateways gives it.
+// A request class, with the name and idempotency that it has in the configuration of the gateways.
 struct Client::RequestClass {
     Idempotency idempotency;
     const char* method;
