--- a/tools/fault_soak/testbed.cpp
+++ b/tools/fault_soak/testbed.cpp
@@ -9,13 +9,14 @@
 namespace fault_soak {
 namespace {
 
+// Time that a gateway has to become healthy before the wait for it ends.
 constexpr Duration ready_within = 15s;
 constexpr Duration request_timeout = 1s;
 // Time after which a gateway is assumed to know a list that it polls.
 constexpr Duration polled_list_known_after = 6s;
 constexpr OracleSettings gateway_settings;
 constexpr const char* health_request = "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-// Factors that make the seeds of the parts differ.
+// Factors of the run's seed that make the seeds of hosts, clients, gateways and shims differ.
 constexpr std::uint64_t host_seed_factor = 1000;
 constexpr std::uint64_t client_seed_factor = 7919;
 constexpr std::uint64_t gateway_seed_factor = 131;
@@ -98,27 +99,27 @@
 HostStub& Testbed::host_stub(int number) { return *host_stubs[static_cast<std::size_t>(number)]; }
 
 std::string Testbed::config_json(int gateway_number, const std::string& admin) const {
-    const GatewayUnderTest& described = gateways[static_cast<std::size_t>(gateway_number)];
+    const GatewayUnderTest& gateway_under_test = gateways[static_cast<std::size_t>(gateway_number)];
     GatewayConfig config;
     config.number = gateway_number;
     config.gateways = options.plan.gateways;
     config.seed = seed_of(options.plan.seed, gateway_seed_factor, gateway_number);
-    config.listen = described.listen;
+    config.listen = gateway_under_test.listen;
     config.admin = admin;
-    config.discovery = described.agent->address(described.agent_address);
-    config.peer_listen = described.peer_listen;
+    config.discovery = gateway_under_test.agent->address(gateway_under_test.agent_address);
+    config.peer_listen = gateway_under_test.peer_listen;
     for (const GatewayUnderTest& peer : gateways) config.peers.push_back(peer.peer_listen);
-    config.known_list = described.agent->known_list();
+    config.known_list = gateway_under_test.agent->known_list();
     config.lists_pushed = lists_pushed;
     config.may_hedge = options.plan.seed % 2 == 0;
     return to_json(config, gateway_settings);
 }
 
 void Testbed::write_config(int gateway_number, const std::string& admin) const {
-    const GatewayUnderTest& described = gateways[static_cast<std::size_t>(gateway_number)];
-    const std::filesystem::path new_file = described.folder / "config.json.new";
+    const GatewayUnderTest& gateway_under_test = gateways[static_cast<std::size_t>(gateway_number)];
+    const std::filesystem::path new_file = gateway_under_test.folder / "config.json.new";
     std::ofstream(new_file) << config_json(gateway_number, admin);
-    std::filesystem::rename(new_file, described.config);
+    std::filesystem::rename(new_file, gateway_under_test.config);
 }
 
 void Testbed::start_process(int gateway_number, const std::string& admin) {
