--- a/include/gateway/interface.h
+++ b/include/gateway/interface.h
@@ -299,7 +299,7 @@
 using Action = std::variant<SendAttempt, RejectRequest, FailRequest, CancelAttempt, CheckHealth, SetTimer,
                             SendMessage, SaveSnapshot>;
 
-// The decisions of one gateway. Deterministic: equal settings, seed and events give equal actions.
+// Decides for one gateway. Decisions are deterministic: equal settings, seed and events give equal actions.
 class Gateway {
   public:
     // Throws std::invalid_argument if the settings are invalid; its message names the setting.
