--- a/src/server/client_connection.cpp
+++ b/src/server/client_connection.cpp
@@ -22,14 +22,14 @@
 ClientConnection::ClientConnection(asio::io_context& io, ClientConnectionOwner& owner,
                                    ClientConnectionSet& connections, ByteBudget& body_budget,
                                    tcp::socket&& socket, SocketBudget::Place&& place, std::uint64_t number,
-                                   Steady::time_point connected_by)
+                                   Steady::time_point connected_at)
     : io_(io),
       owner_(owner),
       connections_(connections),
       socket_(std::move(socket)),
       place_(std::move(place)),
       number_(number),
-      connected_by_(connected_by),
+      connected_at_(connected_at),
       reader_(body_budget) {
     set_timeout(client_limits::header_timeout);
 }
@@ -38,7 +38,7 @@
     error_code ec;
     socket_.set_option(tcp::no_delay(true), ec);
     socket_.non_blocking(true, ec);
-    if (socket_.available(ec) > 0) first_bytes_at_ = connected_by_;
+    if (socket_.available(ec) > 0) first_bytes_at_ = connected_at_;
     read();
 }
 
@@ -70,7 +70,7 @@
 }
 
 bool ClientConnection::evictable_newcomer(Steady::time_point connected_by) const {
-    if (state_ == State::closed || connected_by_ > connected_by) return false;
+    if (state_ == State::closed || connected_at_ > connected_by) return false;
     if (state_ == State::lingering) return true;
     error_code ec;
     return request_ == 0 && !writing_ && !has_deferred_input() && socket_.available(ec) == 0;
@@ -328,7 +328,8 @@
     respond(make_answer(error.status, std::string(error.text) + '\n'));
 }
 
-// Writes without a wait first, because most responses fit into the socket's send buffer at once.
+// Writes without waiting until the socket is writable, because most responses fit into its send buffer at
+// once.
 void ClientConnection::write() {
     if (write_from(0)) on_written();
 }
@@ -348,7 +349,8 @@
     return !writing_;
 }
 
-// Waits before it writes, because the wait also ends at once if there is space already.
+// Waits until the socket is writable, then continues at `offset`. The wait ends at once if the send buffer
+// has space again by then.
 void ClientConnection::await_writable(std::size_t offset) {
     socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this(), offset](error_code failed) {
         if (self->state_ == State::closed) return;
--- a/src/server/client_connection.h
+++ b/src/server/client_connection.h
@@ -55,15 +55,16 @@
     ~ClientConnectionOwner() = default;
 };
 
-// A connection from a client. It always waits for input, so that it notices a client's disconnect at once.
+// A connection from a client. While a request is in flight, the connection reads all input, so that it
+// notices a disconnect of the client at once.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
   public:
-    // `number` identifies the connection in the log. `connected_by`: the latest time by which the client is
-    // certain to have connected.
+    // `number` identifies the connection in the log. `connected_at`: the estimated time at which the client
+    // connected.
     ClientConnection(boost::asio::io_context& io, ClientConnectionOwner& owner,
                      ClientConnectionSet& connections, ByteBudget& body_budget,
                      boost::asio::ip::tcp::socket&& socket, SocketBudget::Place&& place, std::uint64_t number,
-                     Steady::time_point connected_by);
+                     Steady::time_point connected_at);
 
     [[nodiscard]] std::uint64_t number() const { return number_; }
 
@@ -164,7 +165,7 @@
     boost::asio::ip::tcp::socket socket_;
     SocketBudget::Place place_;
     const std::uint64_t number_;
-    const Steady::time_point connected_by_;
+    const Steady::time_point connected_at_;
     State state_ = State::open;
     Steady::time_point deadline_;
 
--- a/src/server/client_connection_set.cpp
+++ b/src/server/client_connection_set.cpp
@@ -9,8 +9,8 @@
 using namespace std::chrono_literals;
 
 namespace {
-// A newcomer that has sent nothing for this long is evicted first, because clients normally send their first
-// request well within this time.
+// A newcomer that connected at least this long ago, and has sent nothing that could be a complete request, is
+// evicted first, because clients normally send their first request well within this time.
 constexpr std::chrono::milliseconds newcomer_grace_period = 50ms;
 }  // namespace
 
@@ -60,8 +60,8 @@
     return evict_one_newcomer(newcomer_grace_period) || evict_one_idle() || evict_one_newcomer({});
 }
 
-bool ClientConnectionSet::evict_one_newcomer(Steady::duration silent_for) {
-    const auto connected_by = Steady::now() - silent_for;
+bool ClientConnectionSet::evict_one_newcomer(Steady::duration min_age) {
+    const auto connected_by = Steady::now() - min_age;
     const auto found = std::find_if(newcomers_.begin(), newcomers_.end(), [&](const auto& connection) {
         return connection->evictable_newcomer(connected_by);
     });
@@ -78,8 +78,8 @@
     return true;
 }
 
-// Includes newcomers that have only sent health checks, because a client would not close such a kept-alive
-// connection by itself.
+// Also closes newcomers that have only sent health checks, because their clients would not close these
+// kept-alive connections by themselves.
 void ClientConnectionSet::close_idle() {
     for_each([](ClientConnection& connection) { connection.close_if_idle(); });
 }
--- a/src/server/client_connection_set.h
+++ b/src/server/client_connection_set.h
@@ -1,4 +1,4 @@
-// The set of all client connections, in the order in which they are evicted.
+// The set of all client connections, which determines the order of their eviction.
 #pragma once
 
 #include <chrono>
@@ -13,9 +13,10 @@
 
 class ClientConnection;
 
-// Keeps the connections in two lists, each with the one that connected or was used longest ago first.
-// Newcomers are connections that have not sent a complete request yet, are paused or linger; the others are
-// known.
+// Keeps the connections in two lists. Newcomers are connections that have sent no complete request yet except
+// for health checks, are paused or linger; the others are known. Each list begins with the first candidate
+// for eviction: lingering connections come first, then those that connected, were paused or were used longest
+// ago.
 class ClientConnectionSet {
   public:
     using Connections = std::list<std::shared_ptr<ClientConnection>>;
@@ -27,13 +28,14 @@
 
     void add_newcomer(const std::shared_ptr<ClientConnection>& connection);
     void add_known(const std::shared_ptr<ClientConnection>& connection);
-    // For a connection that has sent a complete request: it is evicted after newcomers that have been silent
-    // for a while and after the known connections that were used before it.
+    // For a connection that has sent a complete request. It becomes the last of the known connections, so
+    // that those used before it are evicted first.
     void move_to_known(ClientConnection& connection);
-    // For a paused connection: it is evicted before known connections and before newcomers that are added
-    // later.
+    // For a paused connection. It becomes the last of the newcomers, so that it is evicted before newcomers
+    // that are added later, and before known connections as `evict_one` describes.
     void move_to_newcomers(ClientConnection& connection);
-    // For a lingering connection: it is evicted before all others.
+    // For a lingering connection. It becomes the first of the newcomers, and thereby the first candidate for
+    // eviction.
     void move_to_front(ClientConnection& connection);
     static void remove(ClientConnection& connection);
 
@@ -43,11 +45,13 @@
     // Whether any connection has a request in flight, unread bytes, or a partly written response.
     [[nodiscard]] bool any_busy() const;
 
-    // Closes one connection to free its descriptor; returns false if none can be closed. Guards against large
-    // numbers of clients that connect and send nothing, or never complete a request: their connections are
-    // evicted before those of any client that has sent a request.
+    // Closes one connection to free its descriptor; returns false if none can be closed. Selects a newcomer
+    // whose grace period since the connect is over; if there is none, an idle known connection; if there is
+    // none either, a newer newcomer. Guards against large numbers of clients that connect and send nothing,
+    // or never complete a request: their connections are evicted before those of any client that has sent a
+    // request.
     bool evict_one();
-    // Closes the known connection that has been idle for longest; returns false if none is idle.
+    // Closes the idle known connection that was used longest ago; returns false if none is idle.
     bool evict_one_idle();
     // Closes all idle connections whose client has received a response, for a graceful shutdown.
     void close_idle();
@@ -60,7 +64,7 @@
   private:
     static void add(Connections& list, const std::shared_ptr<ClientConnection>& connection);
     static void move(ClientConnection& connection, Connections& list, Connections::iterator before);
-    bool evict_one_newcomer(Steady::duration silent_for);
+    bool evict_one_newcomer(Steady::duration min_age);
     static void handle_timeouts(Connections& list);
     template <class Action>
     void for_each(Action action);
--- a/src/server/client_listener.cpp
+++ b/src/server/client_listener.cpp
@@ -74,8 +74,8 @@
     accept();
 }
 
-// One accept is always pending, unless the socket budget has no place for a further client. Then the next
-// freed place starts it.
+// One accept is always pending, unless accepting is suspended or the socket budget has no place for a further
+// client. In the second case, the next place that becomes free starts the accept.
 void ClientListener::accept() {
     if (accept_pending_ || suspended_ || !acceptor_.is_open()) return;
     accept_pending_ = true;
@@ -119,7 +119,7 @@
     tcp::socket socket(io_);
     acceptor_.accept(socket, ec);
     if (ec) return true;
-    callbacks_.on_connection(std::move(socket), std::move(*place), connected_by());
+    callbacks_.on_connection(std::move(socket), std::move(*place), estimated_connect_time());
     return true;
 }
 
@@ -138,9 +138,10 @@
     return ::poll(&listener, 1, 0) > 0;
 }
 
-// Returns a time that is not later than the arrival of the connection at the head of the backlog, unless that
-// connection has waited longer than `max_backlog_age`.
-Steady::time_point ClientListener::connected_by() const {
+// Returns the estimated time at which the connection at the head of the backlog arrived. While connections
+// wait in the backlog, this is an early estimate: the time since when the backlog has not been empty, but at
+// most `max_backlog_age` ago. Otherwise, it is the current time.
+Steady::time_point ClientListener::estimated_connect_time() const {
     const auto now = Steady::now();
     return std::max(backlog_since_.value_or(now), now - max_backlog_age);
 }
--- a/src/server/client_listener.h
+++ b/src/server/client_listener.h
@@ -17,9 +17,9 @@
 class ClientListener {
   public:
     struct Callbacks {
-        // `connected_by`: the latest time by which the client is certain to have connected.
+        // A connection has been accepted. `connected_at`: the estimated time at which the client connected.
         std::function<void(boost::asio::ip::tcp::socket&&, SocketBudget::Place&&,
-                           Steady::time_point connected_by)>
+                           Steady::time_point connected_at)>
             on_connection;
         // The system is short of descriptors or memory: the callback closes a connection if it can.
         std::function<void()> on_shortage;
@@ -39,7 +39,7 @@
     void resume();
     // Removes the callback from the socket budget. Required before destruction.
     void detach();
-    // Accepts all connections in the backlog. Returns whether there were any, or some are left.
+    // Accepts all connections in the backlog. Returns whether any was accepted or is left.
     [[nodiscard]] bool accept_backlog();
     // Returns a duplicate of the listening socket for another process.
     [[nodiscard]] Descriptor share() const;
@@ -51,7 +51,7 @@
     [[nodiscard]] bool accept_one(boost::system::error_code& ec);
     void accept_after_backoff();
     [[nodiscard]] bool has_backlog();
-    [[nodiscard]] Steady::time_point connected_by() const;
+    [[nodiscard]] Steady::time_point estimated_connect_time() const;
 
     boost::asio::io_context& io_;
     SocketBudget& budget_;
--- a/src/server/client_request.h
+++ b/src/server/client_request.h
@@ -15,8 +15,8 @@
     std::uint64_t id = 0;
     // The number of the connection on which the request arrived.
     std::uint64_t connection = 0;
-    // The arrival time at this machine. Where it is only known approximately, this is an earlier time, never
-    // a later one.
+    // The time at which the request's first byte was received. If the byte had arrived before the connection
+    // was accepted, this is the estimated time of the connect, so that the wait in the backlog counts.
     Steady::time_point arrived;
     Request message;
     // The reservation for the bytes of the body.
--- a/src/server/client_server.cpp
+++ b/src/server/client_server.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 constexpr std::chrono::milliseconds timeout_check_interval = 100ms;
-// Known connections may hold one in this many descriptors; beyond that, each new connection evicts the idle
-// known one that was used longest ago. Guards against clients that send one request and never close their
-// connection, so that too few descriptors are left for other clients.
+// The number of known connections is limited to the socket limit divided by this number. Above the limit,
+// each new connection evicts the idle known connection that was used longest ago. Guards against clients that
+// send one request and never close their connection, so that too few descriptors are left for other clients.
 constexpr std::size_t max_known_divisor = 6;
 }  // namespace
 
@@ -26,8 +26,8 @@
       budget_(budget),
       callbacks_(std::move(callbacks)),
       listener_(io, listen, budget,
-                {[this](tcp::socket&& socket, SocketBudget::Place&& place, Steady::time_point connected_by) {
-                     on_connection(std::move(socket), std::move(place), connected_by);
+                {[this](tcp::socket&& socket, SocketBudget::Place&& place, Steady::time_point connected_at) {
+                     on_connection(std::move(socket), std::move(place), connected_at);
                  },
                  [this] { connections_.evict_one(); }},
                 std::move(listener)),
@@ -47,8 +47,8 @@
 }
 
 void ClientServer::on_connection(tcp::socket&& socket, SocketBudget::Place&& place,
-                                 Steady::time_point connected_by) {
-    const auto connection = make_connection(std::move(socket), std::move(place), connected_by);
+                                 Steady::time_point connected_at) {
+    const auto connection = make_connection(std::move(socket), std::move(place), connected_at);
     connections_.add_newcomer(connection);
     LogLine(LogLevel::debug, "client_accepted").with("connection", connection->number());
     connection->start();
@@ -57,10 +57,10 @@
 
 ClientServer::ConnectionPointer ClientServer::make_connection(tcp::socket&& socket,
                                                               SocketBudget::Place&& place,
-                                                              Steady::time_point connected_by) {
+                                                              Steady::time_point connected_at) {
     ClientConnectionOwner& owner = *this;
     return std::make_shared<ClientConnection>(io_, owner, connections_, body_budget_, std::move(socket),
-                                              std::move(place), next_connection_number_++, connected_by);
+                                              std::move(place), next_connection_number_++, connected_at);
 }
 
 void ClientServer::on_request(ClientConnection& connection, ClientRequest&& request) {
--- a/src/server/client_server.h
+++ b/src/server/client_server.h
@@ -34,7 +34,7 @@
         std::function<void(std::uint64_t id)> on_disconnected;
         // Whether the health endpoint, /_health, reports success.
         std::function<bool()> ready;
-        // All pieces passed so far of a streamed response have been written: the next one can be sent.
+        // All pieces of a streamed response so far have been written, so the next one can be sent.
         std::function<void(std::uint64_t id)> on_piece_written = {};
         // A connection closed. `request`: the id of its request in flight; 0: none. Called before
         // `on_disconnected`.
@@ -74,7 +74,7 @@
     // Starts a graceful shutdown: the health endpoint reports failure, responses close their connections, and
     // idle connections are closed.
     void drain();
-    // Behaves as after `drain` while the process is on standby.
+    // Starts or ends standby. On standby, the server behaves as after `drain`.
     void set_standby(bool enabled);
     [[nodiscard]] bool on_standby() const { return standby_; }
 
@@ -90,7 +90,7 @@
     // The number of connections with a request in flight, which cannot be handed over yet.
     [[nodiscard]] std::size_t connections_in_flight() const { return requests_in_flight_.size(); }
     // Accepts the connections in the backlog, because a client whose connection the kernel has accepted
-    // expects an answer. Returns whether there were any, or some are left.
+    // expects an answer. Returns whether any was accepted or is left.
     [[nodiscard]] bool accept_backlog() { return listener_.accept_backlog(); }
     // Whether no connection has a request in flight, a partly read or unread request, or a partly written
     // response.
@@ -112,10 +112,10 @@
     void on_closed(ClientCloseReason reason, std::uint64_t connection, std::uint64_t request) override;
 
     void on_connection(boost::asio::ip::tcp::socket&& socket, SocketBudget::Place&& place,
-                       Steady::time_point connected_by);
+                       Steady::time_point connected_at);
     [[nodiscard]] ConnectionPointer make_connection(boost::asio::ip::tcp::socket&& socket,
                                                     SocketBudget::Place&& place,
-                                                    Steady::time_point connected_by);
+                                                    Steady::time_point connected_at);
     // Returns the connection of a request in flight, or null.
     [[nodiscard]] ConnectionPointer find_in_flight(std::uint64_t id) const;
     // Returns the connection of a request in flight, or null, and removes the request from those in flight.
--- a/src/server/config.h
+++ b/src/server/config.h
@@ -19,7 +19,9 @@
 struct Config {
     // The gateway's name, unique on its machine.
     std::string name;
+    // The address on which the gateway serves clients.
     boost::asio::ip::tcp::endpoint listen;
+    // The address at which the gateway calls discovery.
     boost::asio::ip::tcp::endpoint discovery;
     // The address of the admin interface; empty: there is none.
     std::optional<boost::asio::ip::tcp::endpoint> admin_listen;
@@ -29,6 +31,7 @@
     std::optional<boost::asio::ip::udp::endpoint> all_peers;
     // The peers' addresses, indexed by rank.
     std::vector<boost::asio::ip::udp::endpoint> peers;
+    // The seed of the random number generators.
     std::uint64_t seed = 0;
     // The folder in which the two processes of an upgrade find each other's socket. If empty, upgrades hand
     // nothing over.
@@ -37,15 +40,17 @@
     std::size_t sockets = 1024;
     // The memory limit in MiB, beyond which the process is killed.
     std::size_t memory_mb = 192;
+    // The endpoint list in use until discovery has sent one.
     EndpointList initial_endpoints;
-    // Whether discovery pushes endpoint lists to the gateway. If false, the gateway polls discovery for them,
-    // and each poll has a cost.
+    // Whether endpoint lists are pushed to discovery's local agent, which then answers each call at once. If
+    // false, each call polls discovery for a list, at a cost: many gateways together can overload discovery.
     bool lists_pushed = true;
-    // Discovery regards changes as delivered to a gateway that has had neither a watch nor a poll for this
-    // long, or, after a failed poll, for four times as long. 0: not set.
+    // The time limit between two calls to discovery. If a gateway has had neither a watch nor a poll for this
+    // long, or for four times as long after a failed call, discovery regards changes as delivered to it. 0:
+    // not set.
     std::chrono::microseconds max_poll_interval{0};
     decision::Settings settings;
-    // The following values stand in the settings, but the decision module does not use them.
+    // The following values are read from the settings, but the decision module does not use them.
     std::chrono::microseconds connect_timeout{std::chrono::milliseconds(250)};
     // How long a connection to a host may be idle before it is closed.
     std::chrono::microseconds host_idle_timeout{std::chrono::seconds(30)};
--- a/src/server/graceful_shutdown.cpp
+++ b/src/server/graceful_shutdown.cpp
@@ -12,8 +12,8 @@
 // Clients still connect for 0.4 s after SIGTERM, so the listener stays open longer than that.
 constexpr std::chrono::milliseconds accept_time = 700ms;
 constexpr std::chrono::milliseconds check_interval = 20ms;
-// SIGKILL follows the longest request deadline by 0.7 s, where at most 3 s of the deadline count. Requests
-// still in flight are answered this much earlier, as a safety margin.
+// The time from SIGTERM to SIGKILL is the longest request deadline, of which at most 3 s count, plus 0.7 s.
+// Requests still in flight are answered before SIGKILL, with the margin below.
 constexpr Micros max_counted_deadline = 3s;
 constexpr Micros margin_before_kill = 150ms;
 }  // namespace
--- a/src/server/handover.h
+++ b/src/server/handover.h
@@ -35,6 +35,7 @@
     int number_ = none;
 };
 
+// A message of the upgrade protocol.
 struct HandoverMessage {
     // The values are part of the protocol and must not change, because the two processes may be of different
     // releases.
@@ -84,8 +85,8 @@
     };
     // `socket`: a connected, non-blocking socket of type SOCK_SEQPACKET.
     HandoverChannel(boost::asio::io_context& io, Descriptor&& socket);
-    // Starts to receive messages. Must be called before a send can fail, because a failed send calls
-    // `on_end`.
+    // Sets the callbacks and starts to receive messages. Must be called before the first `send`: without
+    // callbacks, a send that fails would close the channel and nothing would report its end.
     void start(Callbacks callbacks);
     // Queues a message and sends as many queued messages as the socket accepts.
     void send(HandoverMessage::Kind kind, std::string payload = {}, Descriptor&& descriptor = {});
@@ -117,8 +118,8 @@
 // The Unix socket in $TMPDIR on which a process listens for its successor.
 class HandoverSocket {
   public:
-    // `name` distinguishes the gateways of one machine. If `folder` is empty, there is no such socket:
-    // processes do not find each other.
+    // `name` distinguishes the gateways of one machine. If `folder` is empty, there is no socket,
+    // and processes do not find each other.
     HandoverSocket(boost::asio::io_context& io, std::string folder, const std::string& name);
     // Connects to the process that listens on the socket. Returns null if there is none.
     [[nodiscard]] std::shared_ptr<HandoverChannel> find() const;
--- a/src/server/request_handler.cpp
+++ b/src/server/request_handler.cpp
@@ -45,8 +45,8 @@
 void RequestHandler::on_request(ClientRequest&& request) {
     RequestAttributes attributes;
     std::optional<RequestError> error = validator_.validate(request.message, attributes);
-    // A host would receive two requests with the same trace id, and an answer could be sent to the wrong
-    // client.
+    // Trace ids are unique among the requests in flight. Otherwise, a host would receive two requests with
+    // the same trace id, and an answer could be sent to the wrong client.
     if (!error && requests_.contains_trace_id(attributes.trace_id))
         error = {http::status::conflict, "X-Trace-Id: expected one that is not open"};
     metrics_.request_received();
@@ -155,8 +155,8 @@
     });
 }
 
-// From here on the speed of the client determines how long the attempt takes; it ends when the host has sent
-// everything or the client disconnects.
+// Starts to stream a response to the client. From then on, the speed of the client determines how long the
+// attempt takes. The attempt ends when the host has sent everything or the client disconnects.
 bool RequestHandler::on_response_started(const HostPool::AttemptKey& key, const std::string& uid,
                                          HostResult&& result) {
     InFlightRequest* const request = requests_.find(key.request);
--- a/src/server/request_validator.cpp
+++ b/src/server/request_validator.cpp
@@ -46,7 +46,8 @@
         if (field.name() != http::field::unknown) continue;
         const std::optional<std::size_t> index = find_header(field.name_string());
         if (!index) continue;
-        // Different gateways and hosts could use different ones of two values.
+        // A header that is sent twice is ambiguous: one gateway or host could use the first value, and
+        // another one the second.
         if (std::exchange(headers.present[*index], true))
             return bad_request(std::string(header_names[*index]) + ": expected once");
         headers.values[*index] = {field.value().data(), field.value().size()};
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -111,8 +111,8 @@
         Visitor{
             [this](const decision::CheckHealth& check) { pool_.probe(check.host); },
             [this](const decision::SetTimer& timer) {
-                // Rounded up to a multiple of the tick, as in the simulator: timers that are due close
-                // together cause a single wake-up.
+                // The time is rounded up to the next multiple of the tick, as in the simulator, so that
+                // timers that are due close together cause a single wake-up.
                 const Micros tick = std::max(config_.settings.tick, 1us);
                 const Micros due = clock_.now() + std::max(timer.from_now, 1us);
                 timers_.add_timer((due / tick + 1) * tick, timer.token);
--- a/src/server/runtime.h
+++ b/src/server/runtime.h
@@ -31,9 +31,9 @@
 // that runs `io`.
 class Runtime {
   public:
-    // Starts the gateway. First looks for a predecessor process with the same name and address, in the
-    // configuration's `handover_folder`. `budget` must outlive the runtime. Throws ConfigError if an address
-    // cannot be bound, and std::invalid_argument if the settings are inconsistent.
+    // Starts the gateway. Before it serves, it looks for a predecessor process with the same name and address
+    // in the configuration's `handover_folder`. `budget` must outlive the runtime. Throws ConfigError if an
+    // address cannot be bound, and std::invalid_argument if the settings are inconsistent.
     Runtime(boost::asio::io_context& io, SocketBudget& budget, const Config& config);
     Runtime(const Runtime&) = delete;
     Runtime& operator=(const Runtime&) = delete;
@@ -64,8 +64,8 @@
     void on_initial_list_ready();
     http::status on_admin_call(const AdminCall& call);
 
-    // In the order of construction. The members with sockets come after the members that their callbacks use,
-    // so that they are destroyed first.
+    // The members are constructed in this order. Those with sockets come after the members that their
+    // callbacks use, so that they are destroyed first.
     const Config config_;
     const Clock clock_;
     decision::Gateway gateway_;
--- a/src/server/upgrade.h
+++ b/src/server/upgrade.h
@@ -34,8 +34,8 @@
         // Called in the successor: the predecessor hands nothing over, and this process has to bind the
         // addresses and start without inherited state.
         std::function<void()> on_no_takeover;
-        // Called for each client or host connection, from the predecessor or returned because it could not be
-        // sent to a successor that has ended.
+        // Called for each client or host connection that the predecessor hands over, or that could not be
+        // sent to a successor before the successor ended.
         std::function<void(HandoverMessage&&)> on_connection;
         // Called in the successor: the predecessor has ended after the handover.
         std::function<void()> on_predecessor_ended;
@@ -54,9 +54,10 @@
     // Returns true if there is a predecessor; `on_taken_over` or `on_no_takeover` is called later. Returns
     // false if there is none; this process has to serve at once.
     [[nodiscard]] bool begin();
-    // Declares this process ready to serve: the predecessor is asked to hand over.
+    // Declares this process ready to serve. The handover is requested as soon as the predecessor has sent its
+    // greeting.
     void ready_to_serve();
-    // Sends an operator's call on this process to the other process of an upgrade, if there is one.
+    // Reports an operator's change of bans or standby to the other process of an upgrade, if there is one.
     void notify(HandoverMessage::Kind kind, const std::string& payload = {});
     // Whether the handover from a predecessor is still outstanding.
     [[nodiscard]] bool is_waiting_for_predecessor() const noexcept {
--- a/src/server/upgrade_coordinator.cpp
+++ b/src/server/upgrade_coordinator.cpp
@@ -110,7 +110,8 @@
     });
 }
 
-// Applies also while this process drains, because no other process serves the requests that arrive meanwhile.
+// Serves again after the successor has ended, even while this process drains, because no other process serves
+// the requests that arrive meanwhile.
 void UpgradeCoordinator::resume_serving() {
     budget_.set_limit(total_sockets_);
     dispatcher_.dispatch(decision::HandedOver{false});
--- a/tests/server/client_disconnect_test.cpp
+++ b/tests/server/client_disconnect_test.cpp
@@ -23,7 +23,8 @@
 }
 
 // Guards against connections to hosts that are established only after the end of their request and still
-// carry the request to a host. In one case, a third of the connections came up late, and some of them did so.
+// carry the request to a host. In one case, a third of the connections were established late, some of them
+// after the end of their request.
 TEST_F(GatewayTest, AnUnsentAttemptEndsWhenItsClientDisconnects) {
     NeverUp unreachable(io);
     endpoint_list =
@@ -101,8 +102,8 @@
             flooding_client.say(std::string(16384, 'x'));
             ASSERT_TRUE(time_passes(2ms));
         }
-        // The gateway closed the connection during a write.
     } catch (const boost::system::system_error&) {
+        // The gateway closed the connection during a write.
     }
     EXPECT_TRUE(run_until(io, [&] { return flooding_client.ended(); }));
     EXPECT_TRUE(flooding_client.answers().empty());
--- a/tests/server/gateway_test.cpp
+++ b/tests/server/gateway_test.cpp
@@ -21,8 +21,9 @@
     EXPECT_EQ(host.peers.size(), 1u);
 }
 
-// Guards against a gateway that starts the time of these requests only when it reads them: it would forward
-// them and answer long after their clients have stopped waiting.
+// The next three tests guard against a gateway that counts the time until a request expires from its parsing
+// rather than from its arrival: the gateway would forward the request and answer long after the client has
+// stopped waiting.
 TEST_F(GatewayTest, ARequestThatExpiresBeforeTheGatewayOpensIsRejectedAtOnce) {
     endpoint_list.clear();
     extra = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
@@ -147,9 +148,8 @@
     client.say(request("a"));
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].body(), "served");
-    next_list =
-        // The version of the list is lower than that of the previous discovery server.
-        complete_list(0, endpoint_entry("o", other.address()));
+    // The version of the list is lower than that of the previous discovery server.
+    next_list = complete_list(0, endpoint_entry("o", other.address()));
     ASSERT_TRUE(run_until(io, [&] {
         return next.requests.size() > 1 && next.targets.back().find("from=0&") != std::string::npos;
     }));
--- a/tests/server/invalid_request_test.cpp
+++ b/tests/server/invalid_request_test.cpp
@@ -16,9 +16,8 @@
     EXPECT_EQ(status("nonsense\r\n\r\n"), 400u);
     EXPECT_EQ(status(request("a", "", "unknown")), 400u);
     EXPECT_EQ(status("GET /api HTTP/1.1\r\nHost: x\r\nX-Qos: read\r\n\r\n"), 400u);
-    EXPECT_EQ(status(request("a", "X-Metering: units=1,spread=1,first=0\r\n")),
-              // The header occurs twice, and it is unclear which value applies.
-              400u);
+    // The header occurs twice, and it is unclear which value applies.
+    EXPECT_EQ(status(request("a", "X-Metering: units=1,spread=1,first=0\r\n")), 400u);
     EXPECT_EQ(status("GET / HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: read\r\nX-Client-Id: 12\r\n\r\n"),
               400u);
     EXPECT_EQ(status("GET / HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: read\r\nX-Client-Id: "
--- a/tests/server/shutdown_test.cpp
+++ b/tests/server/shutdown_test.cpp
@@ -48,8 +48,8 @@
     EXPECT_TRUE(server.is_idle());
 }
 
-// The shutdown checks for open requests between two iterations of the event loop. At that time, a request may
-// be in the kernel's buffers only.
+// The shutdown checks for unanswered requests between two iterations of the event loop. At that time, a
+// request may still be in the kernel's buffer only.
 TEST_F(GatewayTest, AnUnreadRequestInTheKernelDelaysTheShutdown) {
     SocketBudget socket_budget(40);
     ClientServer server(
@@ -100,7 +100,7 @@
     EXPECT_EQ(received, 1) << "a request after the shutdown of the connection was served";
 }
 
-// SIGKILL follows SIGTERM by at least 3.7 s, however long the request's deadline is.
+// SIGKILL may follow SIGTERM after 3.7 s, even if the deadline of a request is later.
 TEST_F(GatewayTest, RequestsInFlightAreAnsweredBeforeSigkill) {
     on_request = [](auto&) {};
     ASSERT_TRUE(starts());
--- a/tests/server/streamed_response_test.cpp
+++ b/tests/server/streamed_response_test.cpp
@@ -50,12 +50,12 @@
     const std::string body = bytes(30000000);
     const auto text =
         std::make_shared<std::string>("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" + body);
-    std::size_t written = 0;
+    std::size_t written_bytes = 0;
     on_request = [&](auto& peer) {
         asio::async_write(
             peer.socket, asio::buffer(*text),
-            [&written, text](error_code, std::size_t n) -> std::size_t {
-                written = n;
+            [&written_bytes, text](error_code, std::size_t n) -> std::size_t {
+                written_bytes = n;
                 return 65536;
             },
             [peer = peer.shared_from_this()](error_code, std::size_t) {});
@@ -66,7 +66,7 @@
     const auto resume_at = std::chrono::steady_clock::now() + 500ms;
     EXPECT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() > resume_at; }));
     // The host could write only as much as the kernel's buffers hold, plus a little in the gateway.
-    EXPECT_LT(written, 20000000u);
+    EXPECT_LT(written_bytes, 20000000u);
     std::size_t heard = 0;
     std::vector<char> chunk(65536);
     std::function<void()> read = [&] {
--- a/tests/server/upgrade_compatibility_test.cpp
+++ b/tests/server/upgrade_compatibility_test.cpp
@@ -1,5 +1,6 @@
-// Tests of the handover between this program and the one of commit 77e24d2, whose part the test plays. The
-// messages of that program are recorded; see tests/fixtures/README.md.
+// Tests of the handover between a process of this version and one of the former version, commit 77e24d2. The
+// test plays the process of the former version and compares messages with the recorded messages of that
+// version; see tests/fixtures/README.md.
 #include <sstream>
 
 #include "../fixtures/fixtures.h"
@@ -112,8 +113,8 @@
         return client.answers().empty() ? 0u : client.answers()[0].result_int();
     }
 
-    // The socket at which a process that serves waits for the one after it.
-    std::filesystem::path waiting_socket() const {
+    // Returns the path of the socket on which a serving process listens for its successor.
+    std::filesystem::path handover_socket_path() const {
         const auto found = std::filesystem::directory_iterator(handover_folder);
         return found == std::filesystem::directory_iterator() ? std::filesystem::path() : found->path();
     }
@@ -141,17 +142,17 @@
     // Plays the successor process of the former version. Returns the kinds of the messages up to the idle
     // connection to the host, which comes last.
     std::string take_over_as_former_version() {
-        const std::filesystem::path path = waiting_socket();
+        const std::filesystem::path path = handover_socket_path();
         EXPECT_EQ(path.filename().string().substr(0, socket_name_prefix.size()), socket_name_prefix);
-        HandoverSocket next(io, HandoverProtocol(AF_UNIX, 0));
-        next.connect(address_of(path));
-        next.send(asio::buffer(greeting), 0);
-        EXPECT_EQ(receive(next), recorded_handover().greeting);
-        next.send(asio::buffer(takeover_request), 0);
+        HandoverSocket successor(io, HandoverProtocol(AF_UNIX, 0));
+        successor.connect(address_of(path));
+        successor.send(asio::buffer(greeting), 0);
+        EXPECT_EQ(receive(successor), recorded_handover().greeting);
+        successor.send(asio::buffer(takeover_request), 0);
         std::string kinds;
         std::string message;
         while (kinds.find(idle_host_connection) == std::string::npos) {
-            message = receive(next);
+            message = receive(successor);
             if (message.empty()) return kinds;
             kinds += message[0];
         }
@@ -161,7 +162,7 @@
 };
 
 TEST_F(UpgradeCompatibility, AServingProcessSendsTheSameMessagesAsTheFormerVersion) {
-    Program former(config(), handover_folder);
+    Program predecessor(config(), handover_folder);
     ASSERT_TRUE(serves());
     ASSERT_EQ(post_admin("/maintenance/enter", "first"), 200u);
     Client client(io, endpoint(listen_port));
@@ -170,7 +171,7 @@
 }
 
 TEST_F(UpgradeCompatibility, AProcessOnStandbySendsTheSameMessagesAsTheFormerVersion) {
-    Program former(config(), handover_folder);
+    Program predecessor(config(), handover_folder);
     ASSERT_TRUE(serves());
     ASSERT_EQ(post_admin("/maintenance/enter", "first"), 200u);
     Client client(io, endpoint(listen_port));
@@ -180,11 +181,12 @@
 }
 
 TEST_F(UpgradeCompatibility, TheSuccessorGreetsTheFormerVersionAndRequestsTheHandover) {
+    // The path at which the processes of this gateway look for their predecessor's socket.
     std::filesystem::path path;
     {
         Program earlier(config(), handover_folder);
         ASSERT_TRUE(serves());
-        path = waiting_socket();
+        path = handover_socket_path();
         earlier.signal(SIGKILL);
         ASSERT_TRUE(run_until(io, [&] { return earlier.ended(); }));
     }
--- a/tests/server/upgrade_test.cpp
+++ b/tests/server/upgrade_test.cpp
@@ -115,8 +115,8 @@
     EXPECT_EQ(status_of(fresh, request("g")), 200u);
 }
 
-// The successor requests the handover and ends at once. The predecessor is stopped meanwhile, so that
-// it always finds the request and the end of the connection together.
+// The successor requests the handover and ends at once. The predecessor is stopped meanwhile, so that it
+// always finds the request and the end of the successor's connection together.
 TEST_F(UpgradeTest, UndeliveredConnectionsAreServedByThePredecessorIfTheSuccessorEnds) {
     Program first(config(first_admin), handover_folder);
     ASSERT_TRUE(becomes_ready(first_admin));
