--- a/include/gateway/request_rules.h
+++ b/include/gateway/request_rules.h
@@ -14,7 +14,7 @@
 namespace gateway::decision {
 
 // The zone and cell of a host. Hosts of one zone or cell may share their store of idempotency keys.
-struct HostPlace {
+struct HostLocation {
     std::string_view zone;
     std::int64_t cell = 0;
 };
@@ -31,8 +31,8 @@
         bool not_executed = false;  // whether the outcome proves that the host did not execute the attempt
     };
 
-    void begin_attempt(int number, const HostPlace& place, Micros now) {
-        attempts_.push_back({number, now, std::string(place.zone), place.cell});
+    void begin_attempt(int number, const HostLocation& location, Micros now) {
+        attempts_.push_back({number, now, std::string(location.zone), location.cell});
     }
     // Has no effect on an attempt that has already ended or was never begun.
     void end_attempt(int number, Outcome outcome);
@@ -80,14 +80,14 @@
 
     // Whether an attempt at a host in the given zone and cell may begin now.
     [[nodiscard]] SendVerdict check_send(const RequestClass& request_class, const RequestHistory& history,
-                                         const HostPlace& place, Micros now) const;
+                                         const HostLocation& location, Micros now) const;
     // Whether a rejection may promise that executing the request again is harmless.
     [[nodiscard]] static bool may_reject(const RequestClass& request_class, const RequestHistory& history);
 
   private:
     [[nodiscard]] SendVerdict check_retry(const RequestClass& request_class,
-                                          const RequestHistory::Attempt& earlier, const HostPlace& place,
-                                          Micros now) const;
+                                          const RequestHistory::Attempt& earlier,
+                                          const HostLocation& location, Micros now) const;
 
     const Settings& settings_;
 };
--- a/src/decision/host_selector.cpp
+++ b/src/decision/host_selector.cpp
@@ -22,8 +22,9 @@
 bool HostSelector::may_take(const Host& host, const Request& request) const {
     const auto class_index = static_cast<std::size_t>(request.arrival.request_class);
     const RequestClass& request_class = context_.settings().classes[class_index];
-    const HostPlace place{host.entry.zone, host.entry.cell};
-    return rules_.check_send(request_class, request.history, place, context_.now()) == SendVerdict::allowed;
+    const HostLocation location{host.entry.zone, host.entry.cell};
+    return rules_.check_send(request_class, request.history, location, context_.now()) ==
+           SendVerdict::allowed;
 }
 
 bool HostSelector::is_available(const Host& host, const Request& request) const {
--- a/src/decision/request_dispatch.cpp
+++ b/src/decision/request_dispatch.cpp
@@ -205,7 +205,7 @@
     // The retry has to go to a host that shares its store of idempotency keys with the last attempt's host,
     // so the zone and cell of that host are checked.
     const RequestHistory::Attempt& last = request.history.attempts().back();
-    const HostPlace last_location{last.zone, last.cell};
+    const HostLocation last_location{last.zone, last.cell};
     const Micros now = context_.now();
     const SendVerdict verdict =
         modules_.rules.check_send(class_of(request), request.history, last_location, now);
--- a/src/decision/request_rules.cpp
+++ b/src/decision/request_rules.cpp
@@ -5,14 +5,15 @@
 namespace gateway::decision {
 namespace {
 // Whether a host shares its store of idempotency keys with the host of the earlier attempt.
-bool in_scope(DeduplicationScope scope, const HostPlace& place, const RequestHistory::Attempt& earlier) {
+bool in_scope(DeduplicationScope scope, const HostLocation& location,
+              const RequestHistory::Attempt& earlier) {
     switch (scope) {
         case DeduplicationScope::all:
             return true;
         case DeduplicationScope::zone:
-            return place.zone == earlier.zone;
+            return location.zone == earlier.zone;
         case DeduplicationScope::cell:
-            return place.cell == earlier.cell;
+            return location.cell == earlier.cell;
     }
     return false;
 }
@@ -63,14 +64,14 @@
 }
 
 SendVerdict RequestRules::check_send(const RequestClass& request_class, const RequestHistory& history,
-                                     const HostPlace& place, Micros now) const {
+                                     const HostLocation& location, Micros now) const {
     const auto& attempts = history.attempts();
     if (history.count() >= settings_.max_attempts) return SendVerdict::attempts_exhausted;
     if (history.in_flight() > 0 && !settings_.may_hedge) return SendVerdict::hedge_not_allowed;
     if (request_class.idempotency == Idempotency::idempotent) return SendVerdict::allowed;
     for (const RequestHistory::Attempt& earlier : attempts) {
         if (earlier.not_executed) continue;
-        const SendVerdict verdict = check_retry(request_class, earlier, place, now);
+        const SendVerdict verdict = check_retry(request_class, earlier, location, now);
         if (verdict != SendVerdict::allowed) return verdict;
     }
     return SendVerdict::allowed;
@@ -79,12 +80,12 @@
 // Connecting can delay the retry by up to the connect timeout. Hosts must still store the idempotency key of
 // the earlier attempt at that time.
 SendVerdict RequestRules::check_retry(const RequestClass& request_class,
-                                      const RequestHistory::Attempt& earlier, const HostPlace& place,
+                                      const RequestHistory::Attempt& earlier, const HostLocation& location,
                                       Micros now) const {
     if (request_class.idempotency == Idempotency::not_idempotent) return SendVerdict::may_have_run;
     if (now + settings_.connect_timeout - earlier.sent >= request_class.deduplication_window)
         return SendVerdict::outside_deduplication_window;
-    return in_scope(request_class.deduplication_scope, place, earlier)
+    return in_scope(request_class.deduplication_scope, location, earlier)
                ? SendVerdict::allowed
                : SendVerdict::outside_deduplication_scope;
 }
