--- a/src/decision/concurrency_permits.cpp
+++ b/src/decision/concurrency_permits.cpp
@@ -56,17 +56,17 @@
     if (context_.handed_over() || !borrows(customer)) return std::nullopt;
     PermitState& state = customer.permits;
     const int needed = state.in_flight + state.admitted + static_cast<int>(state.waiting.size());
-    const int wanted = std::min(plan->max_concurrency, needed);
-    if (wanted == state.wanted && !renew) return std::nullopt;
-    state.wanted = wanted;
-    state.granted = std::min(state.granted, wanted);
+    const int requested = std::min(plan->max_concurrency, needed);
+    if (requested == state.requested && !renew) return std::nullopt;
+    state.requested = requested;
+    state.granted = std::min(state.granted, requested);
     state.requested_at = context_.now();
     // An outdated queue length would reject the next request.
-    if (wanted == 0) state.queue_length = 0;
+    if (requested == 0) state.queue_length = 0;
     state.nonce = context_.next_nonce();
     const PermitRequest request{state.nonce,       customer.hash,      customer.plan,
-                                customer.set_size, customer.set_start, wanted};
-    if (wanted > 0) context_.set_timer(renewal_period, customer.hash, TimerKind::permit_renewal);
+                                customer.set_size, customer.set_start, requested};
+    if (requested > 0) context_.set_timer(renewal_period, customer.hash, TimerKind::permit_renewal);
     const int to = holder(customer);
     if (to == context_.settings().rank) return lend(request, to);
     messenger_.post(to, request, true);
@@ -75,7 +75,7 @@
 
 bool ConcurrencyPermits::renewal_due(const Customer& customer) {
     const PermitState& state = customer.permits;
-    if (state.wanted == 0 || context_.since(state.requested_at) < renewal_period || !borrows(customer))
+    if (state.requested == 0 || context_.since(state.requested_at) < renewal_period || !borrows(customer))
         return false;
     const int to = holder(customer);
     if (to != context_.settings().rank && !context_.stalled())
@@ -84,7 +84,7 @@
 }
 
 void ConcurrencyPermits::reset(Customer& customer) {
-    customer.permits.wanted = 0;
+    customer.permits.requested = 0;
     customer.permits.queue_length = 0;
 }
 
@@ -102,30 +102,30 @@
                                   [&](const PermitHolder& holder) { return holder.rank == from; });
     if (requester == holders.end()) requester = holders.insert(requester, {from, request.nonce});
     else if (is_superseded(request, *requester)) return std::nullopt;
-    if (requester->granted == requester->wanted) {
+    if (requester->granted == requester->requested) {
         std::rotate(requester, requester + 1, holders.end());
         requester = holders.end() - 1;
     }
     requester->nonce = request.nonce;
-    requester->wanted = request.wanted;
-    requester->granted = std::min(requester->granted, request.wanted);
+    requester->requested = request.requested;
+    requester->granted = std::min(requester->granted, request.requested);
     requester->valid_until = context_.now() + permit_lifetime;
 
     int free = plan.max_concurrency;
     int queue_length = 0;
     for (const PermitHolder& holder : holders) {
         free -= holder.granted;
-        queue_length += holder.wanted - holder.granted;
+        queue_length += holder.requested - holder.granted;
     }
     std::optional<PermitGrant> own_grant;
     for (PermitHolder& holder : holders) {
-        const bool receives_permit = free > 0 && holder.granted < holder.wanted;
+        const bool receives_permit = free > 0 && holder.granted < holder.requested;
         if (receives_permit) {
             ++holder.granted;
             --free;
             --queue_length;
         }
-        if (holder.wanted == 0 || !(receives_permit || holder.rank == from)) continue;
+        if (holder.requested == 0 || !(receives_permit || holder.rank == from)) continue;
         const PermitGrant grant{holder.nonce, request.customer, holder.granted, queue_length};
         if (holder.rank == context_.settings().rank) own_grant = grant;
         else messenger_.post(holder.rank, grant, true);
@@ -136,7 +136,7 @@
 bool ConcurrencyPermits::accept(Customer& customer, const PermitGrant& grant, int from) {
     PermitState& state = customer.permits;
     if (grant.nonce != state.nonce || from != holder(customer)) return false;
-    state.granted = std::min(grant.granted, state.wanted);
+    state.granted = std::min(grant.granted, state.requested);
     state.queue_length = grant.queue_length;
     state.valid_until = state.requested_at + permit_lifetime;
     return true;
--- a/src/decision/customer.h
+++ b/src/decision/customer.h
@@ -49,7 +49,7 @@
     int in_flight = 0;               // number of attempts in flight
     int admitted = 0;                // number of requests admitted and not forwarded yet
     int granted = 0;                 // number of permits lent by the lease holder
-    int wanted = 0;                  // number of permits in the latest permit request
+    int requested = 0;               // number of permits in the latest permit request
     int queue_length = 0;            // number of permits that gateways of the set wait for
     std::uint32_t nonce = 0;         // nonce of the latest permit request
     Micros requested_at{0};          // time of the latest permit request
--- a/src/decision/peer_message.cpp
+++ b/src/decision/peer_message.cpp
@@ -73,7 +73,7 @@
     void write(const PermitRequest& request) {
         put_type(RecordType::permit_request);
         put_customer(request);
-        put_permits(request.wanted);
+        put_permits(request.requested);
     }
     void write(const PermitGrant& grant) {
         put_type(RecordType::permit_grant);
@@ -135,7 +135,7 @@
     PermitRequest read_permit_request() {
         PermitRequest request;
         read_customer(request);
-        request.wanted = read_int(1);
+        request.requested = read_int(1);
         return request;
     }
     PermitGrant read_permit_grant() {
--- a/src/decision/peer_message.h
+++ b/src/decision/peer_message.h
@@ -43,7 +43,7 @@
     int plan = 0;                // index into Settings::plans, below 256
     int set_size = 1;            // number of gateways through which the customer's requests arrive
     int set_start = 0;           // rank of the first such gateway
-    int wanted = 0;              // number of permits that the gateway needs
+    int requested = 0;           // number of permits that the gateway needs
 };
 
 // The permits that a gateway holds from now on.
--- a/src/decision/quota_ledger.h
+++ b/src/decision/quota_ledger.h
@@ -20,7 +20,7 @@
 struct PermitHolder {
     int rank = 0;
     std::uint32_t nonce = 0;  // nonce of the gateway's latest request
-    int wanted = 0;           // number of permits that the gateway needs
+    int requested = 0;        // number of permits that the gateway needs
     int granted = 0;          // number of permits that the gateway holds
     Micros valid_until{0};    // time at which the permits expire
 };
--- a/tests/decision/peer_message_test.cpp
+++ b/tests/decision/peer_message_test.cpp
@@ -41,7 +41,7 @@
     EXPECT_EQ(decoded_request.plan, 3);
     EXPECT_EQ(decoded_request.set_size, 512);
     EXPECT_EQ(decoded_request.set_start, 511);
-    EXPECT_EQ(decoded_request.wanted, 255);
+    EXPECT_EQ(decoded_request.requested, 255);
     const PermitGrant& decoded_grant = std::get<PermitGrant>(decoded->at(1));
     EXPECT_EQ(decoded_grant.nonce, 78u);
     EXPECT_EQ(decoded_grant.customer, 5u);
--- a/tests/decision/unit/concurrency_permits_test.cpp
+++ b/tests/decision/unit/concurrency_permits_test.cpp
@@ -32,12 +32,12 @@
     }
 
     // Passes a permit request from the gateway with rank `from` to the lease holder.
-    std::optional<PermitGrant> lend(int from, std::uint32_t nonce, int wanted) {
+    std::optional<PermitGrant> lend(int from, std::uint32_t nonce, int requested) {
         PermitRequest request;
         request.nonce = nonce;
         request.customer = customer_hash;
         request.set_size = 4;
-        request.wanted = wanted;
+        request.requested = requested;
         event.actions.clear();
         return permits.lend(request, from);
     }
--- a/tests/decision/unit/quota_ledger_test.cpp
+++ b/tests/decision/unit/quota_ledger_test.cpp
@@ -89,7 +89,7 @@
 // that has only permits starts at the start of the process, even if permits were requested since.
 TEST_F(QuotaLedgerTest, LedgerExpiresAfterItsLatestLeaseRequestRegardlessOfPermits) {
     const Plan& plan = holder.context.settings().plans.front();
-    ledger.permit_holders(customer_hash, plan).push_back({.rank = 2, .wanted = 1});
+    ledger.permit_holders(customer_hash, plan).push_back({.rank = 2, .requested = 1});
     holder.advance(10s - 1us);
     ledger.expire_idle(10s);
     EXPECT_EQ(ledger.permit_holders(customer_hash, plan).size(), 1u);
@@ -100,7 +100,7 @@
     EXPECT_EQ(ledger.permit_holders(customer_hash, plan).size(), 1u) << "the lease request counts as use";
 
     const std::uint32_t permits_only = customer_hash + 1;
-    ledger.permit_holders(permits_only, plan).push_back({.rank = 2, .wanted = 1});
+    ledger.permit_holders(permits_only, plan).push_back({.rank = 2, .requested = 1});
     ledger.expire_idle(10s);
     EXPECT_TRUE(ledger.permit_holders(permits_only, plan).empty())
         << "the ledger expires although a permit was just requested";
