--- a/src/decision/health_checker.cpp
+++ b/src/decision/health_checker.cpp
@@ -10,7 +10,7 @@
 constexpr double fleet_checks_per_request = 12;
 }  // namespace
 
-void HealthChecker::earn() {
+void HealthChecker::credit_request() {
     budget_ = std::min(max_saved_checks, budget_ + fleet_checks_per_request / context_.settings().instances);
 }
 
--- a/src/decision/health_checker.h
+++ b/src/decision/health_checker.h
@@ -16,7 +16,7 @@
     explicit HealthChecker(Context& context) : context_(context) {}
 
     // Credits the budget for one arrived request with this gateway's part of the fleet's health checks.
-    void earn();
+    void credit_request();
     // Takes `checks` health checks from the budget. Returns false and takes nothing if the budget holds
     // fewer.
     [[nodiscard]] bool take(std::size_t checks);
--- a/src/decision/request_admission.cpp
+++ b/src/decision/request_admission.cpp
@@ -50,7 +50,7 @@
     const int plans = static_cast<int>(context_.settings().plans.size());
     request.traffic_class = arrival.request_class * (plans + 1) + arrival.plan + 1;
     modules_.leases.record_demand(customer, request.arrival.units);
-    modules_.health_checker.earn();
+    modules_.health_checker.credit_request();
     ++customer.requests;
     return requests_.emplace(arrival.id, std::move(request)).first->second;
 }
--- a/tests/decision/unit/health_checker_test.cpp
+++ b/tests/decision/unit/health_checker_test.cpp
@@ -11,7 +11,7 @@
     EventContext event;
     HealthChecker checker(event.context);
 
-    checker.earn();  // the budget holds four checks at most and is already full
+    checker.credit_request();  // the budget holds four checks at most and is already full
 
     EXPECT_FALSE(checker.take(5));
     EXPECT_TRUE(checker.take(4));
@@ -24,9 +24,9 @@
     HealthChecker checker(event.context);
     ASSERT_TRUE(checker.take(4));
 
-    checker.earn();
+    checker.credit_request();
     EXPECT_FALSE(checker.take(1));
-    checker.earn();
+    checker.credit_request();
     EXPECT_TRUE(checker.take(1));
 }
 
