--- a/src/decision/health_checker.cpp
+++ b/src/decision/health_checker.cpp
@@ -14,7 +14,7 @@
     budget_ = std::min(max_saved_checks, budget_ + fleet_checks_per_request / context_.settings().instances);
 }
 
-bool HealthChecker::take(std::size_t checks) {
+bool HealthChecker::take_checks(std::size_t checks) {
     if (budget_ < static_cast<double>(checks)) return false;
     budget_ -= static_cast<double>(checks);
     return true;
--- a/src/decision/health_checker.h
+++ b/src/decision/health_checker.h
@@ -19,7 +19,7 @@
     void credit_request();
     // Takes `checks` health checks from the budget. Returns false and takes nothing if the budget holds
     // fewer.
-    [[nodiscard]] bool take(std::size_t checks);
+    [[nodiscard]] bool take_checks(std::size_t checks);
     // Registers the request as waiting for the host's health check. Sends the check unless one is in flight.
     void request(Host& host, RequestId id);
     // Ends the host's health check. Returns the requests that waited for it.
--- a/src/decision/request_dispatch.cpp
+++ b/src/decision/request_dispatch.cpp
@@ -66,7 +66,7 @@
         request.health_check_rounds = max_health_check_rounds;
         return false;
     }
-    if (modules_.health_checker.take(request.candidates.size())) {
+    if (modules_.health_checker.take_checks(request.candidates.size())) {
         check_health_of_candidates(request);
         return true;
     }
--- a/tests/decision/unit/health_checker_test.cpp
+++ b/tests/decision/unit/health_checker_test.cpp
@@ -13,21 +13,21 @@
 
     checker.credit_request();  // the budget holds four checks at most and is already full
 
-    EXPECT_FALSE(checker.take(5));
-    EXPECT_TRUE(checker.take(4));
-    EXPECT_FALSE(checker.take(1));
-    EXPECT_TRUE(checker.take(0));
+    EXPECT_FALSE(checker.take_checks(5));
+    EXPECT_TRUE(checker.take_checks(4));
+    EXPECT_FALSE(checker.take_checks(1));
+    EXPECT_TRUE(checker.take_checks(0));
 }
 
 TEST(HealthChecker, EachRequestCreditsOneGatewaysPartOfTwelveChecks) {
     EventContext event(fleet_settings(24));
     HealthChecker checker(event.context);
-    ASSERT_TRUE(checker.take(4));
+    ASSERT_TRUE(checker.take_checks(4));
 
     checker.credit_request();
-    EXPECT_FALSE(checker.take(1));
+    EXPECT_FALSE(checker.take_checks(1));
     checker.credit_request();
-    EXPECT_TRUE(checker.take(1));
+    EXPECT_TRUE(checker.take_checks(1));
 }
 
 TEST(HealthChecker, RequestsWaitingForTheSameHostShareOneCheck) {
