--- a/src/decision/health_checker.cpp
+++ b/src/decision/health_checker.cpp
@@ -20,7 +20,7 @@
     return true;
 }
 
-void HealthChecker::request(Host& host, RequestId id) {
+void HealthChecker::await_check(Host& host, RequestId id) {
     host.awaiting_health_check.push_back(id);
     if (host.awaiting_health_check.size() == 1) context_.emit(CheckHealth{host.entry.host});
 }
--- a/src/decision/health_checker.h
+++ b/src/decision/health_checker.h
@@ -21,7 +21,7 @@
     // fewer.
     [[nodiscard]] bool take_checks(std::size_t checks);
     // Registers the request as waiting for the host's health check. Sends the check unless one is in flight.
-    void request(Host& host, RequestId id);
+    void await_check(Host& host, RequestId id);
     // Ends the host's health check. Returns the requests that waited for it.
     [[nodiscard]] static std::vector<RequestId> finish(Host& host);
 
--- a/src/decision/request_dispatch.cpp
+++ b/src/decision/request_dispatch.cpp
@@ -81,7 +81,8 @@
     request.queued = false;
     request.checking_health = true;
     request.health_checks_in_flight = static_cast<int>(request.candidates.size());
-    for (Host* const host : request.candidates) modules_.health_checker.request(*host, request.arrival.id);
+    for (Host* const host : request.candidates)
+        modules_.health_checker.await_check(*host, request.arrival.id);
     context_.set_timer(health_check_wait, request.arrival.id, TimerKind::health_check);
 }
 
--- a/tests/decision/unit/health_checker_test.cpp
+++ b/tests/decision/unit/health_checker_test.cpp
@@ -36,14 +36,14 @@
     Host host;
     host.entry.host = "host";
 
-    checker.request(host, 1);
-    checker.request(host, 2);
+    checker.await_check(host, 1);
+    checker.await_check(host, 2);
     ASSERT_EQ(event.emitted<CheckHealth>().size(), 1u);
     EXPECT_EQ(event.emitted<CheckHealth>()[0].host, "host");
     EXPECT_EQ(HealthChecker::finish(host), (std::vector<RequestId>{1, 2}));
     EXPECT_TRUE(HealthChecker::finish(host).empty());
 
-    checker.request(host, 3);
+    checker.await_check(host, 3);
     EXPECT_EQ(event.emitted<CheckHealth>().size(), 2u) << "the previous health check has ended";
 }
 
