--- a/src/decision/health_checker.cpp
+++ b/src/decision/health_checker.cpp
@@ -25,7 +25,7 @@
     if (host.awaiting_health_check.size() == 1) context_.emit(CheckHealth{host.entry.host});
 }
 
-std::vector<RequestId> HealthChecker::finish(Host& host) {
+std::vector<RequestId> HealthChecker::end_check(Host& host) {
     return std::exchange(host.awaiting_health_check, {});
 }
 
--- a/src/decision/health_checker.h
+++ b/src/decision/health_checker.h
@@ -23,7 +23,7 @@
     // Registers the request as waiting for the host's health check. Sends the check unless one is in flight.
     void await_check(Host& host, RequestId id);
     // Ends the host's health check. Returns the requests that waited for it.
-    [[nodiscard]] static std::vector<RequestId> finish(Host& host);
+    [[nodiscard]] static std::vector<RequestId> end_check(Host& host);
 
   private:
     // The most health checks that the budget holds. The budget is full at the start.
--- a/src/decision/request_dispatch.cpp
+++ b/src/decision/request_dispatch.cpp
@@ -126,7 +126,7 @@
     const bool success = check.outcome == Outcome::success;
     if (success) modules_.load.record_report(*host, check.report);
     else modules_.outliers.record_failed_health_check(*host);
-    for (const RequestId id : HealthChecker::finish(*host)) {
+    for (const RequestId id : HealthChecker::end_check(*host)) {
         Request* const request = find(id);
         if (request == nullptr || !request->checking_health) continue;
         if (std::count(request->candidates.begin(), request->candidates.end(), host) == 0) continue;
--- a/tests/decision/unit/health_checker_test.cpp
+++ b/tests/decision/unit/health_checker_test.cpp
@@ -40,8 +40,8 @@
     checker.await_check(host, 2);
     ASSERT_EQ(event.emitted<CheckHealth>().size(), 1u);
     EXPECT_EQ(event.emitted<CheckHealth>()[0].host, "host");
-    EXPECT_EQ(HealthChecker::finish(host), (std::vector<RequestId>{1, 2}));
-    EXPECT_TRUE(HealthChecker::finish(host).empty());
+    EXPECT_EQ(HealthChecker::end_check(host), (std::vector<RequestId>{1, 2}));
+    EXPECT_TRUE(HealthChecker::end_check(host).empty());
 
     checker.await_check(host, 3);
     EXPECT_EQ(event.emitted<CheckHealth>().size(), 2u) << "the previous health check has ended";
