--- a/src/decision/request_dispatch.cpp
+++ b/src/decision/request_dispatch.cpp
@@ -216,7 +216,7 @@
     // work, because the rejected attempt was not executed, so it does not use the retry budget.
     const bool adds_no_work =
         !request.history.may_have_run() && modules_.load.responds_fast(objective_s(&request));
-    if (!adds_no_work && !modules_.retries.take())
+    if (!adds_no_work && !modules_.retries.take_retry())
         return give_up(request, RejectionReason::retry_budget_exhausted);
     dispatch(request);
 }
@@ -236,7 +236,7 @@
     if (class_of(request).idempotency != Idempotency::idempotent) return;
     if (request.history.count() >= settings.max_attempts || context_.now() >= request.latest_start) return;
     if (settings.may_hedge) {
-        if (!modules_.retries.take()) return;
+        if (!modules_.retries.take_retry()) return;
         request.next_reason = AttemptReason::hedge;
         try_send(request);
     } else if (settings.may_cancel) {
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -12,7 +12,7 @@
 
 void RetryPolicy::record_first_attempt() { first_attempts_.add(1, context_.now(), response_memory_s); }
 
-bool RetryPolicy::take() {
+bool RetryPolicy::take_retry() {
     const Micros now = context_.now();
     const double budget = first_attempts_.value(now, response_memory_s) * retries_per_request + min_retries;
     if (retries_.value(now, response_memory_s) + 1 > budget) return false;
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -14,7 +14,7 @@
     // Records that a request's first attempt is sent, which adds a fraction of a retry to the budget.
     void record_first_attempt();
     // Takes one retry from the budget. Returns false and takes nothing if less than one is left.
-    [[nodiscard]] bool take();
+    [[nodiscard]] bool take_retry();
 
     void serialize(auto& codec) { codec(first_attempts_, retries_); }
 
--- a/tests/decision/unit/retry_policy_test.cpp
+++ b/tests/decision/unit/retry_policy_test.cpp
@@ -13,7 +13,7 @@
     // Takes retries until the budget is spent and returns how many there were.
     int take_all_retries() {
         int taken = 0;
-        while (retries.take()) ++taken;
+        while (retries.take_retry()) ++taken;
         return taken;
     }
 
