--- a/src/decision/host_selector.cpp
+++ b/src/decision/host_selector.cpp
@@ -19,7 +19,7 @@
 constexpr double min_weight = 1e-3;
 }  // namespace
 
-bool HostSelector::may_take(const Host& host, const Request& request) const {
+bool HostSelector::rules_allow(const Host& host, const Request& request) const {
     const auto class_index = static_cast<std::size_t>(request.arrival.request_class);
     const RequestClass& request_class = context_.settings().classes[class_index];
     const HostLocation location{host.entry.zone, host.entry.cell};
@@ -28,7 +28,7 @@
 }
 
 bool HostSelector::is_available(const Host& host, const Request& request) const {
-    if (!host.usable() || outliers_.is_ejected(host) || !may_take(host, request)) return false;
+    if (!host.usable() || outliers_.is_ejected(host) || !rules_allow(host, request)) return false;
     return !load_.is_known(host) || load_.outstanding(host) < load_.limit(host);
 }
 
@@ -85,7 +85,7 @@
 Host* HostSelector::best_candidate(const Request& request) const {
     Host* best = nullptr;
     for (Host* const host : request.candidates) {
-        if (!has_capacity(*host) || !may_take(*host, request)) continue;
+        if (!has_capacity(*host) || !rules_allow(*host, request)) continue;
         if (!best || cost(*host) < cost(*best)) best = host;
     }
     return best;
--- a/src/decision/host_selector.h
+++ b/src/decision/host_selector.h
@@ -33,7 +33,7 @@
     // request; null if there is none.
     [[nodiscard]] Host* best_candidate(const Request& request) const;
     // Whether the rules on retries and hedged requests allow an attempt at the host.
-    [[nodiscard]] bool may_take(const Host& host, const Request& request) const;
+    [[nodiscard]] bool rules_allow(const Host& host, const Request& request) const;
     // Whether the host has capacity for one more request. A host has none if it is unusable or ejected, or if
     // it has no fresh load report and is not known; see LoadEstimator::is_known. Any other host has capacity
     // if its outstanding requests are below its limit. The limit does not apply if a fresh load report shows
--- a/src/decision/request_dispatch.cpp
+++ b/src/decision/request_dispatch.cpp
@@ -132,7 +132,7 @@
         if (std::count(request->candidates.begin(), request->candidates.end(), host) == 0) continue;
         --request->health_checks_in_flight;
         const bool can_accept = success && host->load.idle && modules_.selector.has_capacity(*host) &&
-                                modules_.selector.may_take(*host, *request);
+                                modules_.selector.rules_allow(*host, *request);
         if (can_accept) send(*request, *host);
         else if (request->health_checks_in_flight <= 0) send_to_best_candidate(*request);
     }
--- a/tests/decision/unit/host_selector_test.cpp
+++ b/tests/decision/unit/host_selector_test.cpp
@@ -76,16 +76,16 @@
 
 TEST_F(HostSelectorTest, AHostIsNotSelectedIfTheRulesForbidTheAttempt) {
     Host& host = add_host("host");
-    EXPECT_TRUE(selector.may_take(host, request));
+    EXPECT_TRUE(selector.rules_allow(host, request));
 
     request.history.begin_attempt(0, {}, start_time);
-    EXPECT_FALSE(selector.may_take(host, request)) << "a hedged request is not allowed";
+    EXPECT_FALSE(selector.rules_allow(host, request)) << "a hedged request is not allowed";
     EXPECT_TRUE(selector.select(request).empty());
     request.history.end_attempt(0, Outcome::error);
-    EXPECT_TRUE(selector.may_take(host, request));
+    EXPECT_TRUE(selector.rules_allow(host, request));
     request.history.begin_attempt(1, {}, start_time);
     request.history.end_attempt(1, Outcome::error);
-    EXPECT_FALSE(selector.may_take(host, request)) << "both allowed attempts are used up";
+    EXPECT_FALSE(selector.rules_allow(host, request)) << "both allowed attempts are used up";
 }
 
 TEST_F(HostSelectorTest, AWarmingHostIsNotSelectedBeforeItsShareIsDue) {
