--- a/src/decision/quota_leases.cpp
+++ b/src/decision/quota_leases.cpp
@@ -271,7 +271,7 @@
     quota.ceiling_tokens = quota.ceiling_reserved;
 }
 
-void QuotaLeases::settle_inherited(Customer& customer) {
+void QuotaLeases::spend_inherited_reservations(Customer& customer) {
     QuotaState& quota = customer.quota;
     quota.ceiling_tokens -= std::exchange(quota.ceiling_reserved, 0);
 }
--- a/src/decision/quota_leases.h
+++ b/src/decision/quota_leases.h
@@ -97,7 +97,7 @@
     // reserved.
     void reset(Customer& customer);
     // Counts the units of the ceiling as spent that the predecessor process had reserved and not forwarded.
-    static void settle_inherited(Customer& customer);
+    static void spend_inherited_reservations(Customer& customer);
 
   private:
     struct PendingLease {
--- a/src/decision/snapshot.cpp
+++ b/src/decision/snapshot.cpp
@@ -36,8 +36,8 @@
     modules.customers.serialize(reader);
 }
 
-void settle_inherited(Customer& customer) {
-    QuotaLeases::settle_inherited(customer);
+void mark_inherited_as_used(Customer& customer) {
+    QuotaLeases::spend_inherited_reservations(customer);
     customer.permits.in_flight += std::exchange(customer.permits.admitted, 0);
 }
 }  // namespace
@@ -60,7 +60,7 @@
     } catch (const std::out_of_range&) {
         // The snapshot is truncated. The values read so far are used; the others stay as after a start.
     }
-    for (auto& [name, customer] : modules.customers) settle_inherited(customer);
+    for (auto& [name, customer] : modules.customers) mark_inherited_as_used(customer);
 }
 
 }  // namespace gateway::decision
