--- a/include/gateway/interface.h
+++ b/include/gateway/interface.h
@@ -212,11 +212,11 @@
 struct TimerFired {
     std::uint64_t token = 0;  // token of the SetTimer action
 };
-// An upgrade changed which process decides. If `away`, another process takes over: the gateway answers with
-// SaveSnapshot and admits no further request. Otherwise the other process has ended, and this process admits
-// requests again, with quotas as after a process start.
+// An upgrade changed which process decides. If `to_successor`, another process takes over: the gateway
+// answers with SaveSnapshot and admits no further request. Otherwise the other process has ended, and this
+// process admits requests again, with quotas as after a process start.
 struct HandedOver {
-    bool away = true;
+    bool to_successor = true;
 };
 // The snapshot that the predecessor process saved. A snapshot of another version is ignored. Of a truncated
 // snapshot, the readable part is restored.
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -103,15 +103,15 @@
     // or a permit at that time are rejected.
     void on(const HandedOver& handover) {
         const bool had_handed_over = context().handed_over();
-        context().set_handed_over(handover.away);
-        if (handover.away && !had_handed_over) {
+        context().set_handed_over(handover.to_successor);
+        if (handover.to_successor && !had_handed_over) {
             context().emit(SaveSnapshot{save_snapshot(modules_)});
             modules_.ledger.clear();
             flow_.reject_waiting();
         }
         // If this process resumes, its quotas begin with the values of a process start, because the other
         // process may have spent everything that it received.
-        if (!handover.away) context().restart_at(context().now());
+        if (!handover.to_successor) context().restart_at(context().now());
         for (auto& [name, customer] : modules_.customers) modules_.leases.reset(customer);
     }
     void on(const RestoreSnapshot& snapshot) {
