--- a/tests/decision/concurrency_test.cpp
+++ b/tests/decision/concurrency_test.cpp
@@ -21,7 +21,7 @@
 }
 
 Settings fleet_settings_with_two_permits() {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.plans[0].rate = settings.plans[0].burst = 100;
     settings.plans[0].max_concurrency = 2;
     return settings;
@@ -72,7 +72,7 @@
 // Guards against even shares that exceed the limit in total: 43% of the attempts sent as a customer's second
 // attempt in flight at one gateway exceeded the limit.
 TEST(ConcurrencyLimit, EvenSharesOfGatewaysDoNotExceedTheLimitInTotal) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.plans[0].rate = settings.plans[0].burst = 100;
     settings.plans[0].max_concurrency = 3;
     std::size_t sent = 0;
--- a/tests/decision/gateway_fixture.h
+++ b/tests/decision/gateway_fixture.h
@@ -34,7 +34,7 @@
     return settings;
 }
 // Settings of the gateway with rank 0 in a fleet of two.
-inline Settings settings_of_one_of_two() {
+inline Settings two_gateway_settings() {
     Settings settings = single_gateway_settings();
     settings.instances = 2;
     settings.may_message_peers = true;
--- a/tests/decision/invalid_input_test.cpp
+++ b/tests/decision/invalid_input_test.cpp
@@ -39,7 +39,7 @@
 }
 
 TEST(Events, InvalidMessagesAndHealthChecksAreIgnored) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     ClockedGateway gateway(settings);
     // An unknown plan, an empty set, and a set larger than the fleet.
     for (const LeaseRequest& request :
--- a/tests/decision/lease_test.cpp
+++ b/tests/decision/lease_test.cpp
@@ -8,7 +8,7 @@
 // completely, or let each gateway forward one request beyond the quota.
 TEST(Lease, QuotaIsMetAndNotExceededByFleetsOfAnySize) {
     for (const int count : {2, 12, 300}) {
-        Settings settings = settings_of_one_of_two();
+        Settings settings = two_gateway_settings();
         settings.plans[0] = {"plan", 10, 20, 0, 1, 0, 1, 0, 0};
         Fleet fleet(settings, count, 7);
         const auto count_forwarded = [&](Micros interval, Micros span) {
@@ -33,7 +33,7 @@
 }
 
 TEST(Lease, FailedLeaseHolderIsReplacedByAFallbackHolder) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.plans[0] = {"plan", 10, 20, 0, 1, 0, 1, 0, 0};
     settings.instances = 9;
     settings.rank = 8;
@@ -65,7 +65,7 @@
 // Guards against a lease holder that counts as silent although it sends messages: after the loss of one
 // datagram with two lease requests, a fallback holder granted the quota a second time.
 TEST(Lease, LeaseHolderThatSendsMessagesIsNotReplacedAfterLostRequests) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.instances = 3;
     const std::uint32_t lease_holder = name_hash("c") % 3;
     settings.rank = static_cast<int>((lease_holder + 1) % 3);
@@ -91,7 +91,7 @@
 // Guards against a false timeout after a stall of the gateway: the overdue timer fires before the answer that
 // is already queued is handled.
 TEST(Lease, StallOfTheGatewayDoesNotMakeTheLeaseHolderSilent) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);  // the other gateway is the lease holder
     ClockedGateway gateway(settings);
     const auto lease_requests = actions_of<SendMessage>(gateway.request(1, 1, 5s, 0, 0, "c", 2));
@@ -111,7 +111,7 @@
 // Guards against late rejections: requests whose lease request was lost waited until shortly before their
 // client gave up.
 TEST(Lease, RequestWaitingForALeaseIsRejectedAtItsLatestStart) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     // The other gateway is the lease holder. It is silent.
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     settings.classes[0].latency_objective = 250ms;
@@ -122,7 +122,7 @@
 }
 
 TEST(Lease, DuplicateGrantIsCreditedOnce) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     ClockedGateway gateway(settings);
     const auto lease_requests = actions_of<SendMessage>(gateway.request(1, 1, 5s, 0, 0, "c", 2));
@@ -139,7 +139,7 @@
 // Guards against granted units that are wasted: a third of the grants arrived after their lease request
 // counted as lost, and were ignored.
 TEST(Lease, GrantForARequestThatCountsAsLostIsCredited) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     ClockedGateway gateway(settings);
     std::vector<SendMessage> lease_requests =
@@ -165,7 +165,7 @@
 // Guards against rejected gateways that all retry at the same time for the same units: half of the lease
 // requests were unsuccessful.
 TEST(Lease, LeaseHolderSchedulesRetriesOfRejectedGatewaysOneAfterAnother) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.instances = 3;
     settings.rank = static_cast<int>(name_hash("c") % 3);
     ClockedGateway gateway(settings);  // 2 units per second; a new ledger has half of the burst of 4
@@ -188,7 +188,7 @@
 // Guards against avoidable waits: without prefetching, half of the requests waited 8 ms or more for a lease
 // request of their own before they were sent.
 TEST(Lease, PrefetchedLeaseCoversTheNextRequestWithoutAWait) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     ClockedGateway gateway(settings);
     auto lease_requests = actions_of<SendMessage>(gateway.request(1, 1, 2s, 0, 0, "c", 2));
@@ -209,7 +209,7 @@
 // held the units of three requests. That was several bursts in total, and customers with small quotas were
 // not served.
 TEST(Lease, PrefetchedUnitsOfASetDoNotExceedTheBurst) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.instances = 100;
     const auto prefetched_units = [&](int set_size) {
         double max_units = 0;
@@ -236,7 +236,7 @@
 
 // Guards against prefetches that fill the outbox and delay the lease requests that client requests wait for.
 TEST(Lease, PrefetchIsSentInTheSameDatagramAsAnUrgentLeaseRequest) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     std::string other_customer = "d";
     while (name_hash(other_customer) % 2 != name_hash("c") % 2) other_customer += 'e';
@@ -253,7 +253,7 @@
 // part of its own receive rate. Many gateways sent lease requests, so the grants came late, and the
 // requesting gateways treated the lease holder as failed.
 TEST(Lease, BusyLeaseHolderAnswersEachGatewayInTime) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.instances = 100;
     settings.plans[0].rate = settings.plans[0].burst = 1000;
     settings.messages_per_s = 40;
@@ -281,7 +281,7 @@
 // Guards against a lease request that counts as lost while it waits in the outbox: it was repeated, and a
 // fallback holder granted the same units as the lease holder.
 TEST(Lease, RequestInTheOutboxDoesNotCountAsLost) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.instances = 100;
     settings.rank = 50;
     settings.messages_per_s = 40;
@@ -316,7 +316,7 @@
 // A request does not wait for a prefetched grant: the gateway sends a lease request for it, and either grant
 // admits the waiting requests that it covers.
 TEST(Lease, TooSmallPrefetchedGrantDoesNotRejectAWaitingRequest) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     ClockedGateway gateway(settings);
     const auto lease_requests = actions_of<SendMessage>(gateway.request(1, 1, 2s, 0, 0, "c", 2));
@@ -334,7 +334,7 @@
 }
 
 TEST(Lease, LateEmptyGrantDoesNotRejectAWaitingRequest) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.rank = static_cast<int>((name_hash("c") + 1) % 2);
     ClockedGateway gateway(settings);
     const auto lease_requests = actions_of<SendMessage>(gateway.request(1, 1, 5s, 0, 0, "c", 2));
@@ -351,7 +351,7 @@
 
 TEST(Lease, RequestIsServedForAnySetSize) {
     for (const int set_size : {0, 1, 2, 500}) {
-        ClockedGateway gateway(settings_of_one_of_two());
+        ClockedGateway gateway(two_gateway_settings());
         gateway.request(1, 1, 2s, 0, 0, "c", set_size);
         gateway.advance(2s);
         EXPECT_GE(actions_of<SendAttempt>(gateway.actions).size(), 1u) << set_size;
--- a/tests/decision/quota_test.cpp
+++ b/tests/decision/quota_test.cpp
@@ -42,7 +42,7 @@
 TEST(Ceiling, GatewaysDoNotExceedTheCeilingInTotal) {
     for (const int count : {2, 12, 300}) {
         for (std::uint64_t seed = 1; seed <= (count > 100 ? 2 : 12); ++seed) {
-            Settings settings = settings_of_one_of_two();
+            Settings settings = two_gateway_settings();
             settings.plans[0].rate = 50;
             settings.plans[0].burst = 60;  // high enough that only the ceiling limits requests
             const int set_size = std::min(count, 8);
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -74,7 +74,7 @@
 // Under a token bucket, any number of tokens above 0 admitted a whole request, so that hundreds of gateways
 // could each send one to a cold host at once.
 TEST(SlowStart, HundredsOfGatewaysTogetherSendAColdHostNoMoreThanItsShare) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.plans[0].rate = settings.plans[0].burst = 0;
     Fleet fleet(settings, 300, 3);
     fleet.answer_after = 100'000us;
