--- a/tests/decision/concurrency_test.cpp
+++ b/tests/decision/concurrency_test.cpp
@@ -123,7 +123,7 @@
 TEST(ConcurrencyLimit, GatewaysOfASetLargerThanTheLimitDoNotExceedTheLimitInTotal) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         Fleet fleet(fleet_settings_with_two_permits(), 12, seed);
-        fleet.answer_after = 200'000us;
+        fleet.response_time = 200'000us;
         RequestId id = 0;
         int total = 0, beyond_limit = 0;
         for (Micros passed{0}; passed < 60s; passed += 20ms) {
@@ -143,7 +143,7 @@
     Settings settings = fleet_settings_with_two_permits();
     settings.may_hedge = settings.may_cancel = false;
     Fleet fleet(settings, 12, 1);
-    fleet.answer_after = 60s;  // no attempt ends during the test
+    fleet.response_time = 60s;  // no attempt ends during the test
     const int lease_holder = static_cast<int>(name_hash("c") % 5);
     const int failing = (lease_holder + 1) % 5, waiting = (lease_holder + 2) % 5;
     for (RequestId id = 1; id <= 2; ++id) fleet.request(failing, id, 1, 5, 60s);
--- a/tests/decision/fleet.h
+++ b/tests/decision/fleet.h
@@ -17,7 +17,7 @@
     std::multimap<Micros, std::pair<int, SendAttempt>> answers;
     Micros now{1'000'000};
     Micros max_message_delay{20'000};  // maximum delay of a message
-    Micros answer_after{5'000};        // response time of every attempt
+    Micros response_time{5'000};       // response time of every attempt
     // All attempts, with the rank of the sender.
     std::vector<std::pair<int, SendAttempt>> sent;
     Fleet(Settings common, int count, std::uint64_t seed) : settings(std::move(common)), random(seed) {
@@ -34,7 +34,7 @@
         for (const Action& action : actions) {
             if (const auto* send = std::get_if<SendAttempt>(&action)) {
                 sent.emplace_back(rank, *send);
-                answers.emplace(now + answer_after, sent.back());
+                answers.emplace(now + response_time, sent.back());
             }
             const auto* message = std::get_if<SendMessage>(&action);
             if (!message || random() % 16 == 0) continue;
@@ -62,7 +62,7 @@
                 const auto [rank, attempt] = answers.begin()->second;
                 answers.erase(answers.begin());
                 execute(rank, gateways[static_cast<std::size_t>(rank)].end_attempt(
-                                  attempt.id, attempt.host, Outcome::success, answer_after));
+                                  attempt.id, attempt.host, Outcome::success, response_time));
             }
         }
     }
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -77,7 +77,7 @@
     Settings settings = two_gateway_settings();
     settings.plans[0].rate = settings.plans[0].burst = 0;
     Fleet fleet(settings, 300, 3);
-    fleet.answer_after = 100'000us;
+    fleet.response_time = 100'000us;
     RequestId id = 0;
     const auto run = [&](Micros span) {  // sends 100 requests a second to four hosts
         int attempts_at_d = 0;
