--- a/tests/decision/concurrency_test.cpp
+++ b/tests/decision/concurrency_test.cpp
@@ -131,7 +131,7 @@
             if (fleet.random() % 10 == 0) fleet.request(static_cast<int>(fleet.random() % 5), ++id, 1, 5, 2s);
             fleet.advance(20ms);
             total += static_cast<int>(fleet.sent.size() - before);
-            beyond_limit += fleet.sent.size() > before && fleet.answers.size() > 2;
+            beyond_limit += fleet.sent.size() > before && fleet.pending_responses.size() > 2;
         }
         // 5 requests per second with a response time of 0.2 s use half of the limit on average.
         EXPECT_GT(total, 0.9 * static_cast<double>(id)) << seed;
--- a/tests/decision/fleet.h
+++ b/tests/decision/fleet.h
@@ -14,7 +14,7 @@
     // Peer messages by their time of delivery, with the rank of the receiver.
     std::multimap<Micros, std::pair<int, MessageArrived>> messages_in_transit;
     // Attempts in flight by the time of their answer, with the rank of the sender.
-    std::multimap<Micros, std::pair<int, SendAttempt>> answers;
+    std::multimap<Micros, std::pair<int, SendAttempt>> pending_responses;
     Micros now{1'000'000};
     Micros max_message_delay{20'000};  // maximum delay of a message
     Micros response_time{5'000};       // response time of every attempt
@@ -34,7 +34,7 @@
         for (const Action& action : actions) {
             if (const auto* send = std::get_if<SendAttempt>(&action)) {
                 sent.emplace_back(rank, *send);
-                answers.emplace(now + response_time, sent.back());
+                pending_responses.emplace(now + response_time, sent.back());
             }
             const auto* message = std::get_if<SendMessage>(&action);
             if (!message || random() % 16 == 0) continue;
@@ -58,9 +58,9 @@
                 messages_in_transit.erase(messages_in_transit.begin());
                 execute(to, gateways[static_cast<std::size_t>(to)].handle(message));
             }
-            while (!answers.empty() && answers.begin()->first <= now) {
-                const auto [rank, attempt] = answers.begin()->second;
-                answers.erase(answers.begin());
+            while (!pending_responses.empty() && pending_responses.begin()->first <= now) {
+                const auto [rank, attempt] = pending_responses.begin()->second;
+                pending_responses.erase(pending_responses.begin());
                 execute(rank, gateways[static_cast<std::size_t>(rank)].end_attempt(
                                   attempt.id, attempt.host, Outcome::success, response_time));
             }
@@ -76,7 +76,7 @@
         settings.rank = rank;
         gateway.decision = Gateway(settings, random(), now);
         gateway.timers.clear();
-        std::erase_if(answers, [&](const auto& answer) { return answer.second.first == rank; });
+        std::erase_if(pending_responses, [&](const auto& response) { return response.second.first == rank; });
         gateway.handle(HostsChanged{true, hosts()});
     }
 };
