--- a/src/server/client_connection.cpp
+++ b/src/server/client_connection.cpp
@@ -21,13 +21,13 @@
 
 ClientConnection::ClientConnection(asio::io_context& io, ClientConnectionOwner& owner,
                                    ClientConnectionSet& connections, ByteBudget& body_budget,
-                                   tcp::socket&& socket, SocketBudget::Place&& place, std::uint64_t number,
+                                   tcp::socket&& socket, SocketBudget::Slot&& slot, std::uint64_t number,
                                    Steady::time_point connected_at)
     : io_(io),
       owner_(owner),
       connections_(connections),
       socket_(std::move(socket)),
-      place_(std::move(place)),
+      slot_(std::move(slot)),
       number_(number),
       connected_at_(connected_at),
       reader_(body_budget) {
@@ -117,7 +117,7 @@
     owner_.on_closed(ClientCloseReason::handed_over, number_, 0);
     const auto self = shared_from_this();
     ClientConnectionSet::remove(*this);
-    place_.release();
+    slot_.release();
     owner_.on_handed_over(std::move(socket), reader_.copy_of_buffered(), first_request_);
 }
 
@@ -189,7 +189,7 @@
     const auto self = shared_from_this();
     ClientConnectionSet::remove(*this);
     reader_.release_body_reservation();
-    place_.release();
+    slot_.release();
 }
 
 void ClientConnection::read() {
--- a/src/server/client_connection.h
+++ b/src/server/client_connection.h
@@ -63,7 +63,7 @@
     // connected.
     ClientConnection(boost::asio::io_context& io, ClientConnectionOwner& owner,
                      ClientConnectionSet& connections, ByteBudget& body_budget,
-                     boost::asio::ip::tcp::socket&& socket, SocketBudget::Place&& place, std::uint64_t number,
+                     boost::asio::ip::tcp::socket&& socket, SocketBudget::Slot&& slot, std::uint64_t number,
                      Steady::time_point connected_at);
 
     [[nodiscard]] std::uint64_t number() const { return number_; }
@@ -163,7 +163,7 @@
     // Maintained by ClientConnectionSet.
     ClientConnectionSet::Position position_;
     boost::asio::ip::tcp::socket socket_;
-    SocketBudget::Place place_;
+    SocketBudget::Slot slot_;
     const std::uint64_t number_;
     const Steady::time_point connected_at_;
     State state_ = State::open;
--- a/src/server/client_listener.cpp
+++ b/src/server/client_listener.cpp
@@ -55,7 +55,7 @@
 
 void ClientListener::start() {
     budget_.on_freed([this] {
-        if (!std::exchange(awaiting_place_, false)) return;
+        if (!std::exchange(awaiting_slot_, false)) return;
         asio::post(io_, [this] { accept(); });
     });
     accept();
@@ -74,8 +74,8 @@
     accept();
 }
 
-// One accept is always pending, unless accepting is suspended or the socket budget has no place for a further
-// client. In the second case, the next place that becomes free starts the accept.
+// One accept is always pending, unless accepting is suspended or the socket budget has no slot for a further
+// client. In the second case, the next slot that becomes free starts the accept.
 void ClientListener::accept() {
     if (accept_pending_ || suspended_ || !acceptor_.is_open()) return;
     accept_pending_ = true;
@@ -94,7 +94,7 @@
     if (!has_backlog()) backlog_since_.reset();
     else if (!backlog_since_) backlog_since_ = Steady::now();
     if (!had_place) {
-        awaiting_place_ = true;
+        awaiting_slot_ = true;
         return;
     }
     if (!is_shortage(ec)) return accept();
@@ -112,14 +112,14 @@
     });
 }
 
-// Returns false if the socket budget had no place for the connection.
+// Returns false if the socket budget had no slot for the connection.
 bool ClientListener::accept_one(error_code& ec) {
-    std::optional<SocketBudget::Place> place = budget_.take(SocketBudget::Side::client);
-    if (!place) return false;
+    std::optional<SocketBudget::Slot> slot = budget_.take(SocketBudget::Side::client);
+    if (!slot) return false;
     tcp::socket socket(io_);
     acceptor_.accept(socket, ec);
     if (ec) return true;
-    callbacks_.on_connection(std::move(socket), std::move(*place), estimated_connect_time());
+    callbacks_.on_connection(std::move(socket), std::move(*slot), estimated_connect_time());
     return true;
 }
 
@@ -128,7 +128,7 @@
     if (suspended_) return false;
     bool any = false;
     for (error_code ec; accept_one(ec) && !ec;) any = true;
-    // An accept may fail temporarily or find no place in the budget; the remaining connections in the backlog
+    // An accept may fail temporarily or find no slot in the budget; the remaining connections in the backlog
     // still count.
     return any || has_backlog();
 }
--- a/src/server/client_listener.h
+++ b/src/server/client_listener.h
@@ -13,12 +13,12 @@
 
 namespace gateway::server {
 
-// Listens on one address and accepts a connection whenever the socket budget has a place for it.
+// Listens on one address and accepts a connection whenever the socket budget has a slot for it.
 class ClientListener {
   public:
     struct Callbacks {
         // A connection has been accepted. `connected_at`: the estimated time at which the client connected.
-        std::function<void(boost::asio::ip::tcp::socket&&, SocketBudget::Place&&,
+        std::function<void(boost::asio::ip::tcp::socket&&, SocketBudget::Slot&&,
                            Steady::time_point connected_at)>
             on_connection;
         // The system is short of descriptors or memory: the callback closes a connection if it can.
@@ -62,8 +62,8 @@
     // check.
     std::optional<Steady::time_point> backlog_since_;
     bool accept_pending_ = false;
-    // Whether the listener waits for a free place in the socket budget.
-    bool awaiting_place_ = false;
+    // Whether the listener waits for a free slot in the socket budget.
+    bool awaiting_slot_ = false;
     bool suspended_ = false;
 };
 
--- a/src/server/client_server.cpp
+++ b/src/server/client_server.cpp
@@ -26,8 +26,8 @@
       budget_(budget),
       callbacks_(std::move(callbacks)),
       listener_(io, listen, budget,
-                {[this](tcp::socket&& socket, SocketBudget::Place&& place, Steady::time_point connected_at) {
-                     on_connection(std::move(socket), std::move(place), connected_at);
+                {[this](tcp::socket&& socket, SocketBudget::Slot&& slot, Steady::time_point connected_at) {
+                     on_connection(std::move(socket), std::move(slot), connected_at);
                  },
                  [this] { connections_.evict_one(); }},
                 std::move(listener)),
@@ -46,21 +46,20 @@
     connections_.close_all(ClientCloseReason::shutdown);
 }
 
-void ClientServer::on_connection(tcp::socket&& socket, SocketBudget::Place&& place,
+void ClientServer::on_connection(tcp::socket&& socket, SocketBudget::Slot&& slot,
                                  Steady::time_point connected_at) {
-    const auto connection = make_connection(std::move(socket), std::move(place), connected_at);
+    const auto connection = make_connection(std::move(socket), std::move(slot), connected_at);
     connections_.add_newcomer(connection);
     LogLine(LogLevel::debug, "client_accepted").with("connection", connection->number());
     connection->start();
     if (connections_.known_count() > budget_.limit() / max_known_divisor) connections_.evict_one_idle();
 }
 
-ClientServer::ConnectionPointer ClientServer::make_connection(tcp::socket&& socket,
-                                                              SocketBudget::Place&& place,
+ClientServer::ConnectionPointer ClientServer::make_connection(tcp::socket&& socket, SocketBudget::Slot&& slot,
                                                               Steady::time_point connected_at) {
     ClientConnectionOwner& owner = *this;
     return std::make_shared<ClientConnection>(io_, owner, connections_, body_budget_, std::move(socket),
-                                              std::move(place), next_connection_number_++, connected_at);
+                                              std::move(slot), next_connection_number_++, connected_at);
 }
 
 void ClientServer::on_request(ClientConnection& connection, ClientRequest&& request) {
@@ -160,14 +159,14 @@
 }
 
 void ClientServer::adopt(Descriptor&& socket, std::string_view unread, bool first_request) {
-    std::optional<SocketBudget::Place> place = budget_.take(SocketBudget::Side::client);
+    std::optional<SocketBudget::Slot> slot = budget_.take(SocketBudget::Side::client);
     error_code ec;
     tcp::socket adopted(io_);
     adopted.assign(listener_.local_endpoint().protocol(), socket.get(), ec);
     // `adopted` owns the descriptor from here on.
     if (!ec) socket.release();
-    if (!place || ec) return;
-    const auto connection = make_connection(std::move(adopted), std::move(*place), Steady::now());
+    if (!slot || ec) return;
+    const auto connection = make_connection(std::move(adopted), std::move(*slot), Steady::now());
     if (first_request) connections_.add_newcomer(connection);
     else connections_.add_known(connection);
     connection->start_adopted(unread, first_request);
--- a/src/server/client_server.h
+++ b/src/server/client_server.h
@@ -85,7 +85,7 @@
     void hand_over(HandOverConnection hand_over_connection);
     // Ends the handover of connections and accepts new connections again.
     void cancel_hand_over();
-    // Takes over a connection from another process, or closes it if the socket budget has no place for it.
+    // Takes over a connection from another process, or closes it if the socket budget has no slot for it.
     void adopt(Descriptor&& socket, std::string_view unread, bool first_request);
     // The number of connections with a request in flight, which cannot be handed over yet.
     [[nodiscard]] std::size_t connections_in_flight() const { return requests_in_flight_.size(); }
@@ -111,10 +111,10 @@
     void on_request_abandoned(std::uint64_t request) override;
     void on_closed(ClientCloseReason reason, std::uint64_t connection, std::uint64_t request) override;
 
-    void on_connection(boost::asio::ip::tcp::socket&& socket, SocketBudget::Place&& place,
+    void on_connection(boost::asio::ip::tcp::socket&& socket, SocketBudget::Slot&& slot,
                        Steady::time_point connected_at);
     [[nodiscard]] ConnectionPointer make_connection(boost::asio::ip::tcp::socket&& socket,
-                                                    SocketBudget::Place&& place,
+                                                    SocketBudget::Slot&& slot,
                                                     Steady::time_point connected_at);
     // Returns the connection of a request in flight, or null.
     [[nodiscard]] ConnectionPointer find_in_flight(std::uint64_t id) const;
--- a/src/server/host_connection.cpp
+++ b/src/server/host_connection.cpp
@@ -57,13 +57,13 @@
 }  // namespace
 
 HostConnection::HostConnection(asio::io_context& io, HostConnectionOwner& owner,
-                               std::shared_ptr<PooledHost> host, SocketBudget::Place&& place,
+                               std::shared_ptr<PooledHost> host, SocketBudget::Slot&& slot,
                                std::chrono::microseconds connect_timeout)
     : owner_(owner),
       host_(std::move(host)),
       endpoint_(host_->endpoint),
       connect_timeout_(connect_timeout),
-      place_(std::move(place)),
+      slot_(std::move(slot)),
       socket_(io),
       deadline_timer_(io),
       connect_retry_timer_(io) {}
@@ -133,7 +133,7 @@
     deadline_timer_.cancel();
     error_code ec;
     Descriptor socket(socket_.release(ec));
-    place_.release();
+    slot_.release();
     return socket;
 }
 
@@ -144,7 +144,7 @@
     connect_retry_timer_.cancel();
     error_code ec;
     socket_.close(ec);
-    place_.release();
+    slot_.release();
 }
 
 void HostConnection::connect() {
--- a/src/server/host_connection.h
+++ b/src/server/host_connection.h
@@ -66,7 +66,7 @@
 class HostConnection : public std::enable_shared_from_this<HostConnection> {
   public:
     HostConnection(boost::asio::io_context& io, HostConnectionOwner& owner, std::shared_ptr<PooledHost> host,
-                   SocketBudget::Place&& place, std::chrono::microseconds connect_timeout);
+                   SocketBudget::Slot&& slot, std::chrono::microseconds connect_timeout);
 
     [[nodiscard]] const std::shared_ptr<PooledHost>& host() const { return host_; }
     // The address that the connection was made to. The host may have moved to another address since.
@@ -142,7 +142,7 @@
     const std::shared_ptr<PooledHost> host_;
     const boost::asio::ip::tcp::endpoint endpoint_;
     const std::chrono::microseconds connect_timeout_;
-    SocketBudget::Place place_;
+    SocketBudget::Slot slot_;
     boost::asio::ip::tcp::socket socket_;
     boost::asio::steady_timer deadline_timer_;
     boost::asio::steady_timer connect_retry_timer_;
--- a/src/server/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -176,10 +176,10 @@
 
 // Returns null if the socket budget is exhausted.
 HostPool::ConnectionPointer HostPool::make_connection(const std::shared_ptr<PooledHost>& host) {
-    auto place = budget_.take(SocketBudget::Side::host);
-    if (!place) return nullptr;
+    auto slot = budget_.take(SocketBudget::Side::host);
+    if (!slot) return nullptr;
     HostConnectionOwner& owner = *this;
-    return std::make_shared<HostConnection>(io_, owner, host, std::move(*place), connect_timeout_);
+    return std::make_shared<HostConnection>(io_, owner, host, std::move(*slot), connect_timeout_);
 }
 
 void HostPool::attempt(const AttemptKey& key, const std::string& uid, Request& message,
--- a/src/server/socket_budget.h
+++ b/src/server/socket_budget.h
@@ -9,33 +9,33 @@
 
 namespace gateway::server {
 
-// A limit on open sockets. Guards against running out of descriptors: each socket needs a place in the budget
+// A limit on open sockets. Guards against running out of descriptors: each socket needs a slot in the budget
 // before it is opened, and if none is left, an idle connection is evicted to free one. Neither side can take
-// all places, so that clients cannot starve the connections to the hosts. The budget must outlive its places.
+// all slots, so that clients cannot starve the connections to the hosts. The budget must outlive its slots.
 class SocketBudget {
   public:
     enum class Side : std::size_t { client, host };
 
-    // The right to hold one socket. The destructor returns the place to the budget.
-    class Place {
+    // The right to hold one socket. The destructor returns the slot to the budget.
+    class Slot {
       public:
-        // Constructs an empty object that holds no place.
-        Place() = default;
-        Place(Place&& other) noexcept : budget_(std::exchange(other.budget_, nullptr)), side_(other.side_) {}
-        Place& operator=(Place&& other) noexcept {
+        // Constructs an empty object that holds no slot.
+        Slot() = default;
+        Slot(Slot&& other) noexcept : budget_(std::exchange(other.budget_, nullptr)), side_(other.side_) {}
+        Slot& operator=(Slot&& other) noexcept {
             std::swap(budget_, other.budget_);
             std::swap(side_, other.side_);
             return *this;
         }
-        ~Place() { release(); }
-        // Returns the place to the budget before the destructor does. Has no effect if no place is held.
+        ~Slot() { release(); }
+        // Returns the slot to the budget before the destructor does. Has no effect if no slot is held.
         void release() {
             if (SocketBudget* const budget = std::exchange(budget_, nullptr)) budget->free(side_);
         }
 
       private:
         friend class SocketBudget;
-        Place(SocketBudget& budget, Side side) : budget_(&budget), side_(side) {}
+        Slot(SocketBudget& budget, Side side) : budget_(&budget), side_(side) {}
 
         SocketBudget* budget_ = nullptr;
         Side side_ = Side::client;
@@ -44,21 +44,21 @@
     explicit SocketBudget(std::size_t sockets)
         : limit_(sockets), limit_per_side_(limit_per_side_of(sockets)) {}
 
-    // Takes a place. Returns an empty optional if the limit is reached and no idle connection can be evicted.
-    [[nodiscard]] std::optional<Place> take(Side side) {
+    // Takes a slot. Returns an empty optional if the limit is reached and no idle connection can be evicted.
+    [[nodiscard]] std::optional<Slot> take(Side side) {
         std::size_t& held_by_side = held_[index_of(side)];
         if (held_by_side >= limit_per_side_ && !evict_one(side)) return std::nullopt;
         if (held_[0] + held_[1] >= limit_ && !evict_one(Side::host) && !evict_one(Side::client))
             return std::nullopt;
         ++held_by_side;
-        return Place(*this, side);
+        return Slot(*this, side);
     }
     // Sets the callback that closes an idle connection of `side`. The callback returns false if there is
     // none.
     void on_shortage(Side side, std::function<bool()> evict_one) {
         evict_one_[index_of(side)] = std::move(evict_one);
     }
-    // Sets the callback that is called whenever a place may have become free.
+    // Sets the callback that is called whenever a slot may have become free.
     void on_freed(std::function<void()> freed) { freed_ = std::move(freed); }
     // Returns the limit for both sides together.
     [[nodiscard]] std::size_t limit() const { return limit_; }
