--- a/src/server/client_listener.cpp
+++ b/src/server/client_listener.cpp
@@ -114,7 +114,7 @@
 
 // Returns false if the socket budget had no slot for the connection.
 bool ClientListener::accept_one(error_code& ec) {
-    std::optional<SocketBudget::Slot> slot = budget_.take(SocketBudget::Side::client);
+    std::optional<SocketBudget::Slot> slot = budget_.acquire(SocketBudget::Side::client);
     if (!slot) return false;
     tcp::socket socket(io_);
     acceptor_.accept(socket, ec);
--- a/src/server/client_server.cpp
+++ b/src/server/client_server.cpp
@@ -159,7 +159,7 @@
 }
 
 void ClientServer::adopt(Descriptor&& socket, std::string_view unread, bool first_request) {
-    std::optional<SocketBudget::Slot> slot = budget_.take(SocketBudget::Side::client);
+    std::optional<SocketBudget::Slot> slot = budget_.acquire(SocketBudget::Side::client);
     error_code ec;
     tcp::socket adopted(io_);
     adopted.assign(listener_.local_endpoint().protocol(), socket.get(), ec);
--- a/src/server/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -176,7 +176,7 @@
 
 // Returns null if the socket budget is exhausted.
 HostPool::ConnectionPointer HostPool::make_connection(const std::shared_ptr<PooledHost>& host) {
-    auto slot = budget_.take(SocketBudget::Side::host);
+    auto slot = budget_.acquire(SocketBudget::Side::host);
     if (!slot) return nullptr;
     HostConnectionOwner& owner = *this;
     return std::make_shared<HostConnection>(io_, owner, host, std::move(*slot), connect_timeout_);
--- a/src/server/socket_budget.h
+++ b/src/server/socket_budget.h
@@ -45,7 +45,7 @@
         : limit_(sockets), limit_per_side_(limit_per_side_of(sockets)) {}
 
     // Takes a slot. Returns an empty optional if the limit is reached and no idle connection can be evicted.
-    [[nodiscard]] std::optional<Slot> take(Side side) {
+    [[nodiscard]] std::optional<Slot> acquire(Side side) {
         std::size_t& held_by_side = held_[index_of(side)];
         if (held_by_side >= limit_per_side_ && !evict_one(side)) return std::nullopt;
         if (held_[0] + held_[1] >= limit_ && !evict_one(Side::host) && !evict_one(Side::client))
