--- a/src/server/client_server.cpp
+++ b/src/server/client_server.cpp
@@ -123,7 +123,7 @@
     if (const auto connection = take_in_flight(id)) connection->abort_stream();
 }
 
-void ClientServer::open() {
+void ClientServer::accept_requests() {
     if (std::exchange(open_, true)) return;
     for (const auto& connection : connections_.newcomers())
         contain(
--- a/src/server/client_server.h
+++ b/src/server/client_server.h
@@ -70,7 +70,7 @@
 
     // Starts to parse requests. Connections are accepted before this call, and the time until their requests
     // expire already runs.
-    void open();
+    void accept_requests();
     // Starts a graceful shutdown: the health endpoint reports failure, responses close their connections, and
     // idle connections are closed.
     void drain();
--- a/src/server/listeners.cpp
+++ b/src/server/listeners.cpp
@@ -25,7 +25,7 @@
                                               callbacks_.clients, std::move(client_listener));
     });
     clients_->set_standby(standby_);
-    if (may_accept_) clients_->open();
+    if (may_accept_) clients_->accept_requests();
 }
 
 std::unique_ptr<PeerLink> Listeners::open_peer_link(Descriptor& socket) const {
@@ -40,7 +40,7 @@
 
 void Listeners::start_accepting() {
     may_accept_ = true;
-    if (clients_) clients_->open();
+    if (clients_) clients_->accept_requests();
 }
 
 void Listeners::set_standby(bool standby) {
--- a/tests/server/resource_limit_test.cpp
+++ b/tests/server/resource_limit_test.cpp
@@ -59,7 +59,7 @@
     ClientServer server(
         io, any_port(), socket_budget, 60000,
         {[&](ClientRequest&& r) { received.push_back(std::move(r)); }, [](auto) {}, [] { return true; }});
-    server.open();
+    server.accept_requests();
     const std::string text =
         "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 40000\r\n\r\n" + std::string(40000, 'x');
     Client first(io, server.local_endpoint());
@@ -114,7 +114,7 @@
     ClientServer server(io, any_port(), budget, 1024 * 1024,
                         {[&](ClientRequest&& r) { received.push_back(std::move(r)); }, [](std::uint64_t) {},
                          [] { return true; }});
-    server.open();
+    server.accept_requests();
     const auto sent_at = Steady::now();
     Client client(io, server.local_endpoint());
     client.say(request("a"));
@@ -134,7 +134,7 @@
     ClientServer server(io, any_port(), budget, 1024 * 1024,
                         {[&](ClientRequest&& r) { received.push_back(std::move(r)); }, [](std::uint64_t) {},
                          [] { return true; }});
-    server.open();
+    server.accept_requests();
     std::vector<Client> busy_clients;
     for (int i = 0; i < 6; ++i) {
         busy_clients.emplace_back(io, server.local_endpoint());
--- a/tests/server/shutdown_test.cpp
+++ b/tests/server/shutdown_test.cpp
@@ -34,7 +34,7 @@
     ClientServer server(
         io, any_port(), socket_budget, 1 << 20,
         {[&](ClientRequest&& r) { received.push_back(std::move(r)); }, [](auto) {}, [] { return true; }});
-    server.open();
+    server.accept_requests();
     server.drain();
     Client first(io, server.local_endpoint()), second(io, server.local_endpoint());
     first.say(request("a"));
@@ -56,7 +56,7 @@
         io, any_port(), socket_budget, 1 << 20,
         {[&](ClientRequest&& r) { server.answer(r.id, make_answer(http::status::ok, "last")); }, [](auto) {},
          [] { return true; }});
-    server.open();
+    server.accept_requests();
     Client client(io, server.local_endpoint());
     ASSERT_TRUE(run_until(io, [&] { return socket_budget.in_use(SocketBudget::Side::client) == 1; }));
     server.drain();
@@ -79,7 +79,7 @@
                              server.answer(arrived.id, make_answer(http::status::ok, "last"));
                          },
                          [](auto) {}, [] { return true; }});
-    server.open();
+    server.accept_requests();
     tcp::socket client(io);
     client.connect(server.local_endpoint());
     asio::write(client, asio::buffer(request("a")));
--- a/tests/server/system_call_test.cpp
+++ b/tests/server/system_call_test.cpp
@@ -25,7 +25,7 @@
                            server->answer(request.id, make_answer(http::status::ok, std::string(2000, 'x')));
                        },
                        [](std::uint64_t) {}, [] { return true; }});
-    server->open();
+    server->accept_requests();
     const ShortWrites short_writes;
     Client client(io, server->local_endpoint());
     for (std::size_t call = 1; call <= call_count; ++call) {
@@ -117,7 +117,7 @@
     ClientServer server(
         io, any_port(), budget, std::size_t{1} << 20,
         ClientServer::Callbacks{[](ClientRequest&&) {}, [](std::uint64_t) {}, [] { return true; }});
-    server.open();
+    server.accept_requests();
     server.drain();
     tcp::socket client(io);
     client.connect(server.local_endpoint());
