--- a/src/server/client_connection.cpp
+++ b/src/server/client_connection.cpp
@@ -203,7 +203,7 @@
         self->read_pending_ = false;
         if (self->state_ == State::closed) return;
         if (ec) return self->close(ClientCloseReason::closed_by_client);
-        contain(
+        run_contained(
             "client", [&] { self->on_readable(); }, [&] { self->close(ClientCloseReason::internal_error); });
     });
 }
@@ -355,7 +355,7 @@
     socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this(), offset](error_code failed) {
         if (self->state_ == State::closed) return;
         if (failed) return self->close(ClientCloseReason::write_failed);
-        contain(
+        run_contained(
             "client", [&] { self->on_writable(offset); },
             [&] { self->close(ClientCloseReason::internal_error); });
     });
--- a/src/server/client_connection_set.cpp
+++ b/src/server/client_connection_set.cpp
@@ -109,7 +109,7 @@
         // The handler below may remove the connection, so the iterator is advanced first.
         const auto connection = *entry++;
         if (!connection->overdue(now)) continue;
-        contain(
+        run_contained(
             "client", [&] { connection->on_timeout(); },
             [&] { connection->close(ClientCloseReason::internal_error); });
     }
--- a/src/server/client_server.cpp
+++ b/src/server/client_server.cpp
@@ -126,7 +126,7 @@
 void ClientServer::accept_requests() {
     if (std::exchange(open_, true)) return;
     for (const auto& connection : connections_.newcomers())
-        contain(
+        run_contained(
             "client", [&] { connection->process_input(); },
             [&] { connection->close(ClientCloseReason::internal_error); });
 }
--- a/src/server/containment.h
+++ b/src/server/containment.h
@@ -11,7 +11,7 @@
 // memory, is logged and closes only that connection: `close` is called. `side` names the connection's kind in
 // the log: "client" or "host".
 template <class Handler, class Close>
-void contain(const char* side, Handler handler, Close close) {
+void run_contained(const char* side, Handler handler, Close close) {
     try {
         handler();
     } catch (const std::exception& error) {
--- a/src/server/host_connection.cpp
+++ b/src/server/host_connection.cpp
@@ -234,7 +234,7 @@
 void HostConnection::read() {
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code ec) {
         if (self->state_ == State::closed) return;
-        contain(
+        run_contained(
             "host", [&] { self->on_readable(ec); }, [&] { self->on_handler_error(); });
     });
 }
