--- a/src/server/handover.cpp
+++ b/src/server/handover.cpp
@@ -183,7 +183,7 @@
       listener_(io),
       accept_retry_(io) {}
 
-std::shared_ptr<HandoverChannel> HandoverSocket::find() const {
+std::shared_ptr<HandoverChannel> HandoverSocket::connect_to_predecessor() const {
     const Descriptor folder = open_folder(folder_);
     if (!folder) return nullptr;
     const auto address = address_in(folder, name_);
--- a/src/server/handover.h
+++ b/src/server/handover.h
@@ -122,7 +122,7 @@
     // and processes do not find each other.
     HandoverSocket(boost::asio::io_context& io, std::string folder, const std::string& name);
     // Connects to the process that listens on the socket. Returns null if there is none.
-    [[nodiscard]] std::shared_ptr<HandoverChannel> find() const;
+    [[nodiscard]] std::shared_ptr<HandoverChannel> connect_to_predecessor() const;
     // Listens on the socket from now on, in place of any other process. A failure is logged.
     void wait(std::function<void(std::shared_ptr<HandoverChannel>)> on_successor);
     // Stops listening.
--- a/src/server/upgrade.cpp
+++ b/src/server/upgrade.cpp
@@ -28,7 +28,7 @@
 }
 
 bool Upgrade::begin() {
-    predecessor_ = handover_socket_.find();
+    predecessor_ = handover_socket_.connect_to_predecessor();
     if (!predecessor_) {
         stage_ = Stage::serving;
         listen_for_successor();
--- a/tests/server/system_call_test.cpp
+++ b/tests/server/system_call_test.cpp
@@ -137,7 +137,7 @@
     handover_socket.wait([&](std::shared_ptr<HandoverChannel>) { connected = true; });
     const FailingCalls failing(SocketCall::accept,
                                {EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE});
-    const auto successor = HandoverSocket(io, folder.string(), "x").find();
+    const auto successor = HandoverSocket(io, folder.string(), "x").connect_to_predecessor();
     ASSERT_NE(successor, nullptr);
     const auto until = std::chrono::steady_clock::now() + 30ms;
     ASSERT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() >= until; }));
