--- a/src/server/handover.cpp
+++ b/src/server/handover.cpp
@@ -194,7 +194,7 @@
     return std::make_shared<HandoverChannel>(io_, std::move(socket));
 }
 
-void HandoverSocket::wait(std::function<void(std::shared_ptr<HandoverChannel>)> on_successor) {
+void HandoverSocket::listen(std::function<void(std::shared_ptr<HandoverChannel>)> on_successor) {
     on_successor_ = std::move(on_successor);
     const Descriptor folder = open_folder(folder_);
     if (!folder) return;
--- a/src/server/handover.h
+++ b/src/server/handover.h
@@ -124,7 +124,7 @@
     // Connects to the process that listens on the socket. Returns null if there is none.
     [[nodiscard]] std::shared_ptr<HandoverChannel> connect_to_predecessor() const;
     // Listens on the socket from now on, in place of any other process. A failure is logged.
-    void wait(std::function<void(std::shared_ptr<HandoverChannel>)> on_successor);
+    void listen(std::function<void(std::shared_ptr<HandoverChannel>)> on_successor);
     // Stops listening.
     void stop();
 
--- a/src/server/upgrade.cpp
+++ b/src/server/upgrade.cpp
@@ -127,7 +127,7 @@
 
 // A further successor replaces one that has connected but not requested the handover.
 void Upgrade::listen_for_successor() {
-    handover_socket_.wait([this](std::shared_ptr<HandoverChannel> successor) {
+    handover_socket_.listen([this](std::shared_ptr<HandoverChannel> successor) {
         if (handed_over_) return;
         if (successor_) successor_->close();
         successor_ = std::move(successor);
--- a/tests/server/system_call_test.cpp
+++ b/tests/server/system_call_test.cpp
@@ -134,7 +134,7 @@
     const std::filesystem::path folder = Program::make_folder();
     HandoverSocket handover_socket(io, folder.string(), "x");
     bool connected = false;
-    handover_socket.wait([&](std::shared_ptr<HandoverChannel>) { connected = true; });
+    handover_socket.listen([&](std::shared_ptr<HandoverChannel>) { connected = true; });
     const FailingCalls failing(SocketCall::accept,
                                {EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE});
     const auto successor = HandoverSocket(io, folder.string(), "x").connect_to_predecessor();
