--- a/src/server/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -190,7 +190,7 @@
     connection->send_attempt(key, message, timeout);
 }
 
-void HostPool::probe(const std::string& uid) {
+void HostPool::check_health(const std::string& uid) {
     HostResult not_sent;
     const auto connection = acquire(uid, not_sent.outcome);
     if (!connection) return callbacks_.on_probe(uid, std::move(not_sent));
--- a/src/server/host_pool.h
+++ b/src/server/host_pool.h
@@ -30,7 +30,7 @@
     struct Callbacks {
         // Called exactly once with the result of each attempt, possibly before `attempt` returns.
         std::function<void(const AttemptKey&, const std::string& uid, HostResult&&)> on_attempt;
-        // Called exactly once with the result of each health check, possibly before `probe` returns.
+        // Called exactly once with the result of each health check, possibly before `check_health` returns.
         std::function<void(const std::string& uid, HostResult&&)> on_probe;
         // Called with the header and the first part of the body of a successful response that is streamed.
         // Reading from the host pauses until `resume_reading` is called. Returns false to cancel the attempt,
@@ -68,7 +68,7 @@
     // Continues to read a streamed response after a piece of it has been forwarded.
     void resume_reading(const AttemptKey& key);
     // Sends a health check to the host.
-    void probe(const std::string& uid);
+    void check_health(const std::string& uid);
 
     // Passes the socket of an idle connection to another process.
     using PassSocket =
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -109,7 +109,7 @@
 void Runtime::execute(decision::Action& action) {
     std::visit(
         Visitor{
-            [this](const decision::CheckHealth& check) { pool_.probe(check.host); },
+            [this](const decision::CheckHealth& check) { pool_.check_health(check.host); },
             [this](const decision::SetTimer& timer) {
                 // The time is rounded up to the next multiple of the tick, as in the simulator, so that
                 // timers that are due close together cause a single wake-up.
--- a/tests/server/host_pool_test.cpp
+++ b/tests/server/host_pool_test.cpp
@@ -403,14 +403,14 @@
 TEST_F(HostPoolTest, HealthChecksReturnTheLoadReport) {
     Server host(io, [](auto& peer) { peer.ok("TEXT inflight=7, queue=2, util=0.61"); });
     update_host(host.endpoint());
-    pool().probe("h");
+    pool().check_health("h");
     ASSERT_TRUE(run_until(io, [&] { return !health_checks.empty(); }));
     EXPECT_EQ(host.targets[0], "/_load");
     EXPECT_EQ(health_checks[0].result.outcome, HostOutcome::success);
     EXPECT_EQ(health_checks[0].result.answer.body(), "TEXT inflight=7, queue=2, util=0.61");
     Server silent(io, [](auto&) {});
     update_host(silent.endpoint());
-    pool().probe("h");
+    pool().check_health("h");
     ASSERT_TRUE(run_until(io, [&] { return health_checks.size() == 2; }));
     EXPECT_EQ(health_checks[1].result.outcome, HostOutcome::timeout);
 }
