--- a/src/server/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -66,7 +66,7 @@
 }
 
 void HostPool::on_health_check_result(const std::string& uid, HostResult&& result) {
-    callbacks_.on_probe(uid, std::move(result));
+    callbacks_.on_health_check_result(uid, std::move(result));
 }
 
 bool HostPool::streams_responses() const { return static_cast<bool>(callbacks_.on_response_started); }
@@ -193,7 +193,7 @@
 void HostPool::check_health(const std::string& uid) {
     HostResult not_sent;
     const auto connection = acquire(uid, not_sent.outcome);
-    if (!connection) return callbacks_.on_probe(uid, std::move(not_sent));
+    if (!connection) return callbacks_.on_health_check_result(uid, std::move(not_sent));
     connection->send_health_check(connect_timeout_);
 }
 
--- a/src/server/host_pool.h
+++ b/src/server/host_pool.h
@@ -31,7 +31,7 @@
         // Called exactly once with the result of each attempt, possibly before `attempt` returns.
         std::function<void(const AttemptKey&, const std::string& uid, HostResult&&)> on_attempt;
         // Called exactly once with the result of each health check, possibly before `check_health` returns.
-        std::function<void(const std::string& uid, HostResult&&)> on_probe;
+        std::function<void(const std::string& uid, HostResult&&)> on_health_check_result;
         // Called with the header and the first part of the body of a successful response that is streamed.
         // Reading from the host pauses until `resume_reading` is called. Returns false to cancel the attempt,
         // if no client waits for the response any more. If this callback is not set, no response is streamed.
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -59,7 +59,7 @@
     callbacks.on_attempt = [this](const auto& key, const auto& uid, HostResult&& result) {
         requests_.on_attempt_ended(key, uid, std::move(result));
     };
-    callbacks.on_probe = [this](const auto& uid, HostResult&& result) {
+    callbacks.on_health_check_result = [this](const auto& uid, HostResult&& result) {
         hosts_.on_health_check_ended(uid, std::move(result));
     };
     callbacks.on_response_started = [this](const auto& key, const auto& uid, HostResult&& result) {
