--- a/src/server/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -62,7 +62,7 @@
 }
 
 void HostPool::on_attempt_result(const AttemptKey& key, const std::string& uid, HostResult&& result) {
-    callbacks_.on_attempt(key, uid, std::move(result));
+    callbacks_.on_attempt_result(key, uid, std::move(result));
 }
 
 void HostPool::on_health_check_result(const std::string& uid, HostResult&& result) {
@@ -186,7 +186,7 @@
                        std::chrono::microseconds timeout) {
     HostResult not_sent;
     const auto connection = acquire(uid, not_sent.outcome);
-    if (!connection) return callbacks_.on_attempt(key, uid, std::move(not_sent));
+    if (!connection) return callbacks_.on_attempt_result(key, uid, std::move(not_sent));
     connection->send_attempt(key, message, timeout);
 }
 
--- a/src/server/host_pool.h
+++ b/src/server/host_pool.h
@@ -29,7 +29,7 @@
 
     struct Callbacks {
         // Called exactly once with the result of each attempt, possibly before `attempt` returns.
-        std::function<void(const AttemptKey&, const std::string& uid, HostResult&&)> on_attempt;
+        std::function<void(const AttemptKey&, const std::string& uid, HostResult&&)> on_attempt_result;
         // Called exactly once with the result of each health check, possibly before `check_health` returns.
         std::function<void(const std::string& uid, HostResult&&)> on_health_check_result;
         // Called with the header and the first part of the body of a successful response that is streamed.
@@ -37,7 +37,7 @@
         // if no client waits for the response any more. If this callback is not set, no response is streamed.
         std::function<bool(const AttemptKey&, const std::string& uid, HostResult&&)> on_response_started = {};
         // Called with a further piece of a streamed response; the last piece is part of the result that
-        // `on_attempt` receives. Reading pauses again until `resume_reading` is called.
+        // `on_attempt_result` receives. Reading pauses again until `resume_reading` is called.
         std::function<void(const AttemptKey&, std::string&& piece)> on_piece = {};
         // Called when a connection is closed or handed over.
         std::function<void(HostCloseReason reason)> on_closed = {};
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -56,7 +56,7 @@
 
 HostPool::Callbacks Runtime::host_callbacks() {
     HostPool::Callbacks callbacks;
-    callbacks.on_attempt = [this](const auto& key, const auto& uid, HostResult&& result) {
+    callbacks.on_attempt_result = [this](const auto& key, const auto& uid, HostResult&& result) {
         requests_.on_attempt_ended(key, uid, std::move(result));
     };
     callbacks.on_health_check_result = [this](const auto& uid, HostResult&& result) {
