--- a/src/server/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -76,7 +76,7 @@
 }
 
 void HostPool::on_response_piece(const AttemptKey& key, std::string&& piece) {
-    callbacks_.on_piece(key, std::move(piece));
+    callbacks_.on_response_piece(key, std::move(piece));
 }
 
 void HostPool::update(const EndpointList& list) {
--- a/src/server/host_pool.h
+++ b/src/server/host_pool.h
@@ -38,7 +38,7 @@
         std::function<bool(const AttemptKey&, const std::string& uid, HostResult&&)> on_response_started = {};
         // Called with a further piece of a streamed response; the last piece is part of the result that
         // `on_attempt_result` receives. Reading pauses again until `resume_reading` is called.
-        std::function<void(const AttemptKey&, std::string&& piece)> on_piece = {};
+        std::function<void(const AttemptKey&, std::string&& piece)> on_response_piece = {};
         // Called when a connection is closed or handed over.
         std::function<void(HostCloseReason reason)> on_closed = {};
     };
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -65,7 +65,7 @@
     callbacks.on_response_started = [this](const auto& key, const auto& uid, HostResult&& result) {
         return requests_.on_response_started(key, uid, std::move(result));
     };
-    callbacks.on_piece = [this](const auto& key, std::string&& piece) {
+    callbacks.on_response_piece = [this](const auto& key, std::string&& piece) {
         listeners_.clients()->send_piece(key.request, std::move(piece));
     };
     callbacks.on_closed = [this](HostCloseReason reason) { metrics_.host_closed(reason); };
