--- a/src/server/known_names.h
+++ b/src/server/known_names.h
@@ -60,10 +60,10 @@
     [[nodiscard]] bool contains(const std::string& name) const { return gone_at_.contains(name); }
     [[nodiscard]] std::size_t size() const noexcept { return gone_at_.size(); }
     // All stored names, in no particular order.
-    [[nodiscard]] std::vector<std::string> all() const {
-        std::vector<std::string> names;
-        for (const auto& [name, gone_at] : gone_at_) names.push_back(name);
-        return names;
+    [[nodiscard]] std::vector<std::string> names() const {
+        std::vector<std::string> host_names;
+        for (const auto& [name, gone_at] : gone_at_) host_names.push_back(name);
+        return host_names;
     }
 
   private:
--- a/src/server/upgrade_coordinator.cpp
+++ b/src/server/upgrade_coordinator.cpp
@@ -90,7 +90,7 @@
     }
     for (std::size_t offset = 0; offset < snapshot_.size(); offset += snapshot_chunk_bytes)
         successor.send(Kind::snapshot, snapshot_.substr(offset, snapshot_chunk_bytes));
-    for (const std::string& uid : hosts_.known_names().all()) successor.send(Kind::known_host, uid);
+    for (const std::string& uid : hosts_.known_names().names()) successor.send(Kind::known_host, uid);
     for (const std::string& uid : pool_.banned()) successor.send(Kind::ban, uid);
     if (listeners_.standby()) successor.send(Kind::enter_standby);
     successor.send(Kind::complete, std::to_string(sockets_kept));
