--- a/tests/server/admin_server_test.cpp
+++ b/tests/server/admin_server_test.cpp
@@ -16,7 +16,7 @@
     // Sends the text on a new connection and returns the status of the answer, or 0 if there is none.
     unsigned status_of(const std::string& text) {
         Client caller(io, admin.local_endpoint());
-        caller.say(text);
+        caller.send(text);
         EXPECT_TRUE(run_until(io, [&] { return caller.ended(); })) << text;
         return caller.answers().empty() ? 0u : caller.answers()[0].result_int();
     }
@@ -59,7 +59,7 @@
     for (int i = 0; i < 40; ++i) {
         unfinished_callers.push_back(std::make_unique<Client>(io, admin.local_endpoint()));
         if (i % 2)
-            unfinished_callers.back()->say(
+            unfinished_callers.back()->send(
                 "POST /maintenance/enter HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\ns-");
     }
     const auto start = std::chrono::steady_clock::now();
--- a/tests/server/client_disconnect_test.cpp
+++ b/tests/server/client_disconnect_test.cpp
@@ -9,7 +9,7 @@
     ASSERT_TRUE(starts());
     {
         Client client(io, address());
-        client.say(request("a"));
+        client.send(request("a"));
         ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
         client.close();
     }
@@ -17,7 +17,7 @@
     host.peers[0]->ok("to nobody");
     on_request = [](auto& peer) { peer.ok("next"); };
     Client client(io, address());
-    client.say(request("b"));
+    client.send(request("b"));
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].body(), "next");
 }
@@ -32,7 +32,7 @@
     may = R"("connectTimeoutUs":14000000,)";
     ASSERT_TRUE(starts());
     Client client(io, address());
-    client.say(request("a"));
+    client.send(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::host) == 1; }));
     client.close();
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 0; }));
@@ -47,11 +47,11 @@
     Client client(io, address());
     std::size_t requests_received = 0;
     for (; requests_received < 5; ++requests_received) {
-        client.say(request(std::string("r").append(std::to_string(requests_received))));
+        client.send(request(std::string("r").append(std::to_string(requests_received))));
         ASSERT_TRUE(answered(client, requests_received + 1) && time_passes(20ms));
     }
     on_request = [](auto&) {};
-    client.say(request("slow"));
+    client.send(request("slow"));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == requests_received + 1; }));
     endpoint_list = complete_list(
         2, endpoint_entry("h", host.address()) + "," +
@@ -72,7 +72,7 @@
     ASSERT_TRUE(starts());
     for (const std::size_t excess_bytes : {5000u, 40000u}) {
         Client client(io, address());
-        client.say(request("a") + std::string(excess_bytes, 'x'));
+        client.send(request("a") + std::string(excess_bytes, 'x'));
         const std::size_t requests_received = host.requests.size();
         ASSERT_TRUE(run_until(io, [&] { return host.requests.size() > requests_received; })) << excess_bytes;
         client.close();
@@ -87,7 +87,7 @@
     on_request = [](auto&) {};
     ASSERT_TRUE(starts());
     Client client(io, address());
-    client.say(request("a") + std::string(40000, 'x'));
+    client.send(request("a") + std::string(40000, 'x'));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
     ASSERT_TRUE(time_passes(50ms));
     host.peers[0]->ok("served");
@@ -96,10 +96,10 @@
     EXPECT_EQ(client.answers()[0].body(), "served");
     // A client that never stops sending is disconnected.
     Client flooding_client(io, address());
-    flooding_client.say(request("b"));
+    flooding_client.send(request("b"));
     try {
         for (int i = 0; i < 40 && !flooding_client.ended(); ++i) {
-            flooding_client.say(std::string(16384, 'x'));
+            flooding_client.send(std::string(16384, 'x'));
             ASSERT_TRUE(time_passes(2ms));
         }
     } catch (const boost::system::system_error&) {
--- a/tests/server/discovery_test.cpp
+++ b/tests/server/discovery_test.cpp
@@ -86,7 +86,7 @@
             case 4:
                 return peer.ok(R"({"rev":1,"all":true,"targets":[{"uid":"x"}]})");
             case 5:
-                return peer.say("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n");
+                return peer.send("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n");
             case 6:
                 return peer.ok(list_body(5, true, "ready"));
             default:
@@ -109,7 +109,7 @@
         call_times.push_back(std::chrono::steady_clock::now());
         if (call_times.size() == 1) peer.ok(list_body(7, true, "ready"));
         else if (call_times.size() < 5)
-            peer.say("HTTP/1.1 503 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+            peer.send("HTTP/1.1 503 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     });
     Discovery discovery(
         io, agent.endpoint(), [](const EndpointList&) {}, {100ms, 400ms, 400ms, 40ms, 160ms}, 5);
@@ -233,15 +233,15 @@
     asio::steady_timer next_piece_timer(io);
     std::function<void(Server::Peer&)> send_piece = [&](Server::Peer& peer) {
         if (peer.closed || pieces_sent == pieces) return;
-        peer.say(body.substr(pieces_sent * body.size() / pieces,
-                             (pieces_sent + 1) * body.size() / pieces - pieces_sent * body.size() / pieces));
+        peer.send(body.substr(pieces_sent * body.size() / pieces,
+                              (pieces_sent + 1) * body.size() / pieces - pieces_sent * body.size() / pieces));
         ++pieces_sent;
         next_piece_timer.expires_after(60ms);
         next_piece_timer.async_wait([&, peer = peer.shared_from_this()](error_code) { send_piece(*peer); });
     };
     Server agent(io, [&](Server::Peer& peer) {
         if (pieces_sent > 0) return;
-        peer.say("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n");
+        peer.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n");
         send_piece(peer);
     });
     bool received = false;
--- a/tests/server/gateway_test.cpp
+++ b/tests/server/gateway_test.cpp
@@ -7,7 +7,7 @@
 TEST_F(GatewayTest, ServesARequestAndKeepsTheConnectionAlive) {
     ASSERT_TRUE(starts());
     Client client(io, address());
-    client.say(request("a"));
+    client.send(request("a"));
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].result_int(), 200u);
     EXPECT_EQ(client.answers()[0].body(), "served");
@@ -15,7 +15,7 @@
     EXPECT_EQ(host.requests[0]["X-Trace-Id"], "a");
     // The connection to the host becomes idle after the response.
     ASSERT_TRUE(time_passes(20ms));
-    client.say(request("b"));
+    client.send(request("b"));
     ASSERT_TRUE(answered(client, 2));
     EXPECT_FALSE(client.ended());
     EXPECT_EQ(host.peers.size(), 1u);
@@ -29,7 +29,7 @@
     extra = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
     gateway();
     Client client(io, address());
-    client.say(request("a", {}, "read", 50ms));
+    client.send(request("a", {}, "read", 50ms));
     // The answer follows after the wait for discovery's first list.
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].result_int(), 429u);
@@ -41,7 +41,7 @@
     on_request = [&](Server::Peer& peer) { held_requests.push_back(peer.shared_from_this()); };
     ASSERT_TRUE(starts());
     Client client(io, address());
-    client.say(request("a") + request("b", {}, "read", 20ms));
+    client.send(request("a") + request("b", {}, "read", 20ms));
     ASSERT_TRUE(run_until(io, [&] { return held_requests.size() == 1; }));
     ASSERT_TRUE(time_passes(30ms));
     held_requests[0]->ok("served");
@@ -56,10 +56,10 @@
     Client client(io, address());
     // Each invalid request doubles the pause after it, to 160 ms after the last one.
     for (std::size_t invalid = 1; invalid <= 4; ++invalid) {
-        client.say("GET /api HTTP/1.1\r\nHost: x\r\n\r\n");
+        client.send("GET /api HTTP/1.1\r\nHost: x\r\n\r\n");
         ASSERT_TRUE(answered(client, invalid));
     }
-    client.say(request("a", {}, "read", 5ms));
+    client.send(request("a", {}, "read", 5ms));
     ASSERT_TRUE(answered(client, 5));
     EXPECT_EQ(client.answers()[4].result_int(), 429u);
     EXPECT_TRUE(host.requests.empty());
@@ -70,7 +70,7 @@
     ASSERT_TRUE(starts());
     Client client(io, address());
     for (std::size_t call = 1; call <= 6; ++call) {
-        client.say(request(std::string("a").append(std::to_string(call))));
+        client.send(request(std::string("a").append(std::to_string(call))));
         ASSERT_TRUE(answered(client, call));
     }
     client.close();
@@ -95,7 +95,7 @@
     Client client(io, address());
     std::size_t sent = 0;
     do {
-        client.say(request(std::string("r").append(std::to_string(sent++))));
+        client.send(request(std::string("r").append(std::to_string(sent++))));
         ASSERT_TRUE(answered(client, sent));
     } while (client.answers().back().result_int() == 200u && sent < 10);
     EXPECT_EQ(client.answers().back().result_int(), 429u);
@@ -110,7 +110,7 @@
     ASSERT_TRUE(starts());
     Client client(io, address());
     for (std::size_t i = 1; broken.requests.empty() && i < 50; ++i) {
-        client.say(request(std::string("r").append(std::to_string(i))));
+        client.send(request(std::string("r").append(std::to_string(i))));
         ASSERT_TRUE(answered(client, i));
         EXPECT_EQ(client.answers().back().result_int(), 200u);
     }
@@ -123,7 +123,7 @@
     Client client(io, address());
     std::string text = request("a");
     text.replace(text.find("15000"), 5, "100");
-    client.say(text);
+    client.send(text);
     ASSERT_TRUE(answered(client));
     EXPECT_NE(client.answers()[0].result_int(), 200u);
     // The client receives no second answer.
@@ -145,7 +145,7 @@
     ASSERT_TRUE(run_until(io, [&] { return next.requests.size() == 1; }));
     EXPECT_EQ(next.targets[0], "/catalog/members");
     Client client(io, address());
-    client.say(request("a"));
+    client.send(request("a"));
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].body(), "served");
     // The version of the list is lower than that of the previous discovery server.
@@ -153,7 +153,7 @@
     ASSERT_TRUE(run_until(io, [&] {
         return next.requests.size() > 1 && next.targets.back().find("from=0&") != std::string::npos;
     }));
-    client.say(request("b"));
+    client.send(request("b"));
     ASSERT_TRUE(answered(client, 2));
     EXPECT_EQ(client.answers()[1].body(), "other");
     const std::size_t before = discovery.requests.size();
@@ -183,7 +183,7 @@
     Client client(io, address());
     std::string text = request("a", "Transfer-Encoding: chunked\r\n", "book");
     text.replace(0, 3, "POST");
-    client.say(text + "3\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 1\r\n\r\n");
+    client.send(text + "3\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 1\r\n\r\n");
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].result_int(), 200u);
     EXPECT_EQ(host.requests.at(0).body(), "abcde");
@@ -191,10 +191,10 @@
 
 TEST_F(GatewayTest, AHeadRequestIsForwardedAndAnsweredWithoutABody) {
     ASSERT_TRUE(starts());
-    on_request = [](auto& peer) { peer.say("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"); };
+    on_request = [](auto& peer) { peer.send("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"); };
     Client client(io, address());
     std::string text = request("a");
-    client.say("HEAD" + text.substr(3));
+    client.send("HEAD" + text.substr(3));
     ASSERT_TRUE(run_until(io, [&] { return client.heard().find("\r\n\r\n") != std::string::npos; }));
     EXPECT_EQ(client.heard().substr(0, 12), "HTTP/1.1 200");
     EXPECT_NE(client.heard().find("Content-Length: 7\r\n"), std::string::npos);
@@ -207,9 +207,9 @@
     Client client(io, address()), stuck(io, address());
     std::string text = request("a", "Content-Length: 32768\r\n", "book");
     text.replace(0, 3, "POST");
-    client.say(text);
+    client.send(text);
     text.replace(text.find("X-Trace-Id: a") + 12, 1, "b");
-    stuck.say(text);
+    stuck.send(text);
     const auto begin = std::chrono::steady_clock::now();
     bool stuck_ended = false;
     for (int i = 1; i <= 16; ++i) {
@@ -219,7 +219,7 @@
             stuck_ended = true;
             EXPECT_LT(std::chrono::steady_clock::now() - begin, 3s);
         }
-        client.say(std::string(2048, 'x'));
+        client.send(std::string(2048, 'x'));
     }
     EXPECT_TRUE(stuck_ended);
     ASSERT_TRUE(answered(client));
--- a/tests/server/host_pool_test.cpp
+++ b/tests/server/host_pool_test.cpp
@@ -125,31 +125,31 @@
 }
 
 TEST_F(HostPoolTest, ResponsesAndFailuresMapToOutcomes) {
-    EXPECT_EQ(outcome([](auto& peer) { peer.say("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"); }),
+    EXPECT_EQ(outcome([](auto& peer) { peer.send("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"); }),
               HostOutcome::error);
     EXPECT_EQ(outcome([](auto& peer) {
-                  peer.say("HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
+                  peer.send("HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
               }),
               HostOutcome::rejected);
     EXPECT_EQ(outcome([](auto& peer) {
-                  peer.say("HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
+                  peer.send("HTTP/1.1 504 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
               }),
               HostOutcome::rejected);
-    EXPECT_EQ(outcome([](auto& peer) { peer.say("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"); }),
+    EXPECT_EQ(outcome([](auto& peer) { peer.send("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"); }),
               HostOutcome::error);
     EXPECT_EQ(outcome([](auto& peer) { peer.close(); }), HostOutcome::reset);
     EXPECT_EQ(outcome([](auto& peer) { peer.reset(); }), HostOutcome::reset);
     EXPECT_EQ(outcome([](auto&) {}, 30ms), HostOutcome::timeout);
-    EXPECT_EQ(outcome([](auto& peer) { peer.say("SSH-2.0-nothing to do with this\r\n\r\n"); }),
+    EXPECT_EQ(outcome([](auto& peer) { peer.send("SSH-2.0-nothing to do with this\r\n\r\n"); }),
               HostOutcome::error);
     EXPECT_EQ(outcome([](auto& peer) {
-                  peer.say("HTTP/1.1 100 Continue\r\n\r\n");
+                  peer.send("HTTP/1.1 100 Continue\r\n\r\n");
                   peer.ok("late");
               }),
               HostOutcome::success);
     EXPECT_EQ(
         outcome([](auto& peer) {
-            peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
+            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
         }),
         HostOutcome::success);
     EXPECT_EQ(results.back().result.answer.body(), "abc");
@@ -161,7 +161,7 @@
     const std::string endless(200'000, '1');
     for (const std::string& line : {endless, "1;" + endless, "0\r\nX-Trailer: " + endless})
         EXPECT_EQ(outcome([&](auto& peer) {
-                      peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + line);
+                      peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + line);
                   }),
                   HostOutcome::error)
             << line.substr(0, 20);
@@ -174,7 +174,7 @@
     Server host(io, [&](auto& peer) {
         peer.ok("own" + std::to_string(++call));
         if (call == 1) peer.ok("copy");  // a separate packet, which may still be in the kernel's buffer
-        if (call == 2) peer.say("noise");
+        if (call == 2) peer.send("noise");
     });
     update_host(host.endpoint());
     for (std::uint64_t id = 1; id <= 3; ++id) {
@@ -225,17 +225,17 @@
 TEST_F(HostPoolTest, InterimResponsesAreSkippedUpToTheLimit) {
     const std::string interim = "HTTP/1.1 103 Early\r\nX: y\r\n\r\n";
     EXPECT_EQ(outcome([&](auto& peer) {
-                  peer.say(interim + interim);
+                  peer.send(interim + interim);
                   peer.ok("body");
               }),
               HostOutcome::success);
     EXPECT_EQ(results.back().result.answer.body(), "body");
     EXPECT_EQ(outcome([&](auto& peer) {
-                  for (int i = 0; i < 100; ++i) peer.say(interim);
+                  for (int i = 0; i < 100; ++i) peer.send(interim);
               }),
               HostOutcome::error);
     EXPECT_EQ(outcome([&](auto& peer) {
-                  peer.say("HTTP/1.1 101 S\r\n\r\n");
+                  peer.send("HTTP/1.1 101 S\r\n\r\n");
                   peer.ok("other");
               }),
               HostOutcome::error);
@@ -248,7 +248,7 @@
           "Content-Length: 3000000000\r\n", "Content-Length: 9000000000000000000\r\n",
           "Content-Length: -2\r\n"})
         EXPECT_EQ(outcome([&](auto& peer) {
-                      peer.say(std::string("HTTP/1.1 200 OK\r\n") + fields + "\r\n2\r\nab\r\n0\r\n\r\n");
+                      peer.send(std::string("HTTP/1.1 200 OK\r\n") + fields + "\r\n2\r\nab\r\n0\r\n\r\n");
                   }),
                   HostOutcome::error)
             << fields;
@@ -258,17 +258,17 @@
 // stream, unless the connection is reset.
 TEST_F(HostPoolTest, AnAttemptWithAPossiblyIncompleteBodyEndsAsReset) {
     EXPECT_EQ(outcome([](auto& peer) {
-                  peer.say("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+                  peer.send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
                   peer.close();
               }),
               HostOutcome::reset);
     EXPECT_EQ(outcome([](auto& peer) {
-                  peer.say("HTTP/1.1 200 OK\r\n\r\nwho knows");
+                  peer.send("HTTP/1.1 200 OK\r\n\r\nwho knows");
                   peer.reset();
               }),
               HostOutcome::reset);
     EXPECT_EQ(outcome([](auto& peer) {
-                  peer.say("HTTP/1.1 200 OK\r\n\r\nall of it");
+                  peer.send("HTTP/1.1 200 OK\r\n\r\nall of it");
                   peer.close();
               }),
               HostOutcome::success);
--- a/tests/server/invalid_request_test.cpp
+++ b/tests/server/invalid_request_test.cpp
@@ -8,7 +8,7 @@
     ASSERT_TRUE(starts());
     const auto status = [&](const std::string& text) {
         Client client(io, address());
-        client.say(text);
+        client.send(text);
         EXPECT_TRUE(answered(client)) << text.substr(0, 80);
         return client.answers().empty() ? 0u : client.answers()[0].result_int();
     };
@@ -25,7 +25,7 @@
               400u);
     EXPECT_EQ(status(request("a", "X-Long: " + std::string(20000, 'x') + "\r\n")), 431u);
     EXPECT_EQ(status("POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\n"), 413u);
-    other.say(request("b"));
+    other.send(request("b"));
     ASSERT_TRUE(answered(other));
     EXPECT_EQ(other.answers()[0].result_int(), 200u);
 }
@@ -38,13 +38,13 @@
     for (const std::string& line :
          {endless, "1;" + endless, "1;a=\"" + endless, "0\r\nX-Trailer: " + endless}) {
         Client client(io, address());
-        client.say("POST /api HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + line);
+        client.send("POST /api HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + line);
         ASSERT_TRUE(run_until(io, [&] { return client.ended(); }));
         ASSERT_EQ(client.answers().size(), 1u) << line.substr(0, 20);
         EXPECT_EQ(client.answers()[0].result_int() / 100, 4u);
     }
     Client other(io, address());
-    other.say(request("b"));
+    other.send(request("b"));
     ASSERT_TRUE(answered(other));
     EXPECT_EQ(other.answers()[0].result_int(), 200u);
 }
@@ -59,7 +59,7 @@
         EXPECT_NE(text.find(from), std::string::npos) << from;
         text.replace(text.find(from), from.size(), to);
         Client client(io, address());
-        client.say(text);
+        client.send(text);
         EXPECT_TRUE(answered(client)) << to;
         return client.answers().empty() ? 0u : client.answers()[0].result_int();
     };
@@ -99,7 +99,7 @@
           "Content-Length: -5\r\n", "Content-Length: 99999999999999999999\r\n",
           "Content-Length: 5\nX: y\r\n"}) {
         Client client(io, address());
-        client.say(head + fields + "\r\n0\r\n\r\n" + hidden);
+        client.send(head + fields + "\r\n0\r\n\r\n" + hidden);
         ASSERT_TRUE(run_until(io, [&] { return client.ended(); })) << fields;
         ASSERT_EQ(client.answers().size(), 1u) << fields;
         EXPECT_EQ(client.answers()[0].result_int(), 400u) << fields;
@@ -111,9 +111,9 @@
     on_request = [](auto&) {};
     ASSERT_TRUE(starts());
     Client first(io, address()), second(io, address());
-    first.say(request("a"));
+    first.send(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
-    second.say(request("a"));
+    second.send(request("a"));
     ASSERT_TRUE(answered(second));
     EXPECT_EQ(second.answers()[0].result_int(), 409u);
     EXPECT_TRUE(first.answers().empty());
@@ -123,7 +123,7 @@
     EXPECT_EQ(first.answers()[0].body(), "own");
     EXPECT_EQ(host.requests.size(), 1u);
     // The first request has ended, so its trace id may be used again.
-    first.say(request("a"));
+    first.send(request("a"));
     ASSERT_TRUE(answered(first, 2));
     EXPECT_EQ(first.answers()[1].body(), "again");
 }
--- a/tests/server/known_list_test.cpp
+++ b/tests/server/known_list_test.cpp
@@ -41,13 +41,13 @@
     gateway();
     ASSERT_TRUE(run_until(io, [&] { return discovery.requests.size() >= 2; }));
     Client client(io, address());
-    client.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+    client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].result_int(), 503u);
     endpoint_list = complete_list(2, endpoint_entry("h", host.address()));
     for (const auto& peer : discovery.peers) peer->close();
     ASSERT_TRUE(starts());
-    client.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+    client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     ASSERT_TRUE(answered(client, 2));
     EXPECT_EQ(client.answers()[1].result_int(), 200u);
 }
@@ -57,7 +57,7 @@
     extra = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
     ASSERT_TRUE(starts());
     Client client(io, address());
-    client.say(request("a"));
+    client.send(request("a"));
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].result_int(), 200u);
 }
@@ -68,7 +68,7 @@
     extra = R"("known":)" + complete_list(7, endpoint_entry("l", removed_host.address())) + ",";
     gateway();
     Client client(io, address());
-    client.say(request("a"));
+    client.send(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return discovery.requests.size() == 1; }));
     while (io.poll() > 0) {  // runs all handlers that are ready after the request
     }
--- a/tests/server/loopback.h
+++ b/tests/server/loopback.h
@@ -43,10 +43,10 @@
         boost::beast::flat_buffer buffer;
         Request request;
         bool closed = false;
-        void say(const std::string& text) { asio::write(socket, asio::buffer(text)); }
+        void send(const std::string& text) { asio::write(socket, asio::buffer(text)); }
         void ok(const std::string& body, const std::string& fields = {}) {
-            say("HTTP/1.1 200 OK\r\n" + fields + "Content-Length: " + std::to_string(body.size()) +
-                "\r\n\r\n" + body);
+            send("HTTP/1.1 200 OK\r\n" + fields + "Content-Length: " + std::to_string(body.size()) +
+                 "\r\n\r\n" + body);
         }
         void close() { socket.close(); }
         void reset() {
@@ -100,7 +100,7 @@
         state_->socket.connect(to);
         read(state_);
     }
-    void say(const std::string& text) { asio::write(state_->socket, asio::buffer(text)); }
+    void send(const std::string& text) { asio::write(state_->socket, asio::buffer(text)); }
     void close() { state_->socket.close(); }
     const std::string& heard() const { return state_->heard; }
     bool ended() const { return state_->ended; }
--- a/tests/server/operator_test.cpp
+++ b/tests/server/operator_test.cpp
@@ -17,14 +17,14 @@
     // Makes an admin call and returns the status of the answer, or 0 if there is none.
     unsigned call(const std::string& text) {
         Client caller(io, gateway().admin_server()->local_endpoint());
-        caller.say(text);
+        caller.send(text);
         EXPECT_TRUE(run_until(io, [&] { return caller.ended(); }));
         return caller.answers().empty() ? 0u : caller.answers()[0].result_int();
     }
     // Returns the status of a health check of the gateway, or 0 if there is no answer.
     unsigned health_status() {
         Client client(io, address());
-        client.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+        client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
         EXPECT_TRUE(answered(client));
         return client.answers().empty() ? 0u : client.answers()[0].result_int();
     }
@@ -45,7 +45,7 @@
     ASSERT_TRUE(run_until(io, [&] { return discovery.requests.size() >= earlier_calls + 2; }));
     Client client(io, address());
     for (std::size_t i = 1; i <= 20; ++i) {
-        client.say(request("a" + std::to_string(i)));
+        client.send(request("a" + std::to_string(i)));
         ASSERT_TRUE(answered(client, i));
         EXPECT_EQ(client.answers().back().body(), "other");
     }
@@ -53,7 +53,7 @@
     EXPECT_EQ(call(post("/maintenance/exit", "h")), 200u);
     EXPECT_EQ(call(post("/maintenance/exit", "h")), 200u);
     for (std::size_t i = 21; host.requests.empty() && i < 2000; ++i) {
-        client.say(request("a" + std::to_string(i)));
+        client.send(request("a" + std::to_string(i)));
         ASSERT_TRUE(answered(client, i));
     }
     EXPECT_GT(host.requests.size(), 0u);
@@ -63,15 +63,15 @@
     ASSERT_TRUE(starts());
     EXPECT_EQ(call("GET /status HTTP/1.1\r\nHost: x\r\n\r\n"), 200u);
     Client idle_client(io, address()), health_checker(io, address());
-    idle_client.say(request("a"));
-    health_checker.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+    idle_client.send(request("a"));
+    health_checker.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     ASSERT_TRUE(answered(idle_client) && answered(health_checker));
     EXPECT_EQ(call(post("/standby")), 200u);
     EXPECT_TRUE(run_until(io, [&] { return idle_client.ended() && health_checker.ended(); }));
     EXPECT_EQ(health_status(), 503u);
     EXPECT_EQ(call("GET /status HTTP/1.1\r\nHost: x\r\n\r\n"), 200u);
     Client client_on_standby(io, address());
-    client_on_standby.say(request("b"));
+    client_on_standby.send(request("b"));
     EXPECT_TRUE(run_until(io, [&] { return client_on_standby.ended(); }));
     ASSERT_EQ(client_on_standby.answers().size(), 1u);
     EXPECT_EQ(client_on_standby.answers()[0].result_int(), 200u);
@@ -79,7 +79,7 @@
     EXPECT_EQ(call(post("/active")), 200u);
     EXPECT_EQ(health_status(), 200u);
     Client client_after_active(io, address());
-    client_after_active.say(request("c"));
+    client_after_active.send(request("c"));
     ASSERT_TRUE(answered(client_after_active));
     EXPECT_TRUE(client_after_active.answers()[0].keep_alive());
 }
--- a/tests/server/resource_limit_test.cpp
+++ b/tests/server/resource_limit_test.cpp
@@ -7,9 +7,9 @@
 TEST_F(GatewayTest, ConnectionsWithoutACompleteRequestInTimeAreClosed) {
     ASSERT_TRUE(starts());
     Client served(io, address()), silent(io, address()), incomplete(io, address());
-    served.say(request("a"));
+    served.send(request("a"));
     ASSERT_TRUE(answered(served));
-    incomplete.say("GET / HTTP/1.1\r\n");
+    incomplete.send("GET / HTTP/1.1\r\n");
     ASSERT_TRUE(run_until(io, [&] { return silent.ended() && incomplete.ended(); }));
     EXPECT_EQ(incomplete.answers().at(0).result_int(), 408u);
     EXPECT_FALSE(served.ended());
@@ -21,7 +21,7 @@
     std::vector<Client> served_clients, silent_clients;
     for (std::size_t i = 0; i < 5; ++i) {
         served_clients.emplace_back(io, address());
-        served_clients.back().say(request(std::string("r").append(std::to_string(i))));
+        served_clients.back().send(request(std::string("r").append(std::to_string(i))));
         ASSERT_TRUE(answered(served_clients.back()));
     }
     for (int i = 0; i < 31; ++i) silent_clients.emplace_back(io, address());
@@ -32,7 +32,7 @@
     pause.async_wait([&](error_code) { pause_ended = true; });
     ASSERT_TRUE(run_until(io, [&] { return pause_ended; }));
     Client new_client(io, address());
-    new_client.say(request("late"));
+    new_client.send(request("late"));
     ASSERT_TRUE(answered(new_client));
     ASSERT_TRUE(run_until(io, [&] { return silent_clients[0].ended(); }));
     for (const Client& client : served_clients) EXPECT_FALSE(client.ended());
@@ -46,7 +46,7 @@
     std::vector<Client> keep_alive_clients;
     for (std::size_t i = 0; i < 20; ++i) {
         keep_alive_clients.emplace_back(io, address());
-        keep_alive_clients.back().say(request(std::string("r").append(std::to_string(i))));
+        keep_alive_clients.back().send(request(std::string("r").append(std::to_string(i))));
         ASSERT_TRUE(answered(keep_alive_clients.back()));
     }
     EXPECT_LE(budget->in_use(SocketBudget::Side::client), 12u);
@@ -63,15 +63,15 @@
     const std::string text =
         "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 40000\r\n\r\n" + std::string(40000, 'x');
     Client first(io, server.local_endpoint());
-    first.say(text);
+    first.send(text);
     ASSERT_TRUE(run_until(io, [&] { return received.size() == 1; }));
     Client second(io, server.local_endpoint());
-    second.say(text);
+    second.send(text);
     ASSERT_TRUE(answered(second));
     EXPECT_EQ(second.answers()[0].result_int(), 503u);
     received.clear();  // releases the memory of the first request
     Client third(io, server.local_endpoint());
-    third.say(text);
+    third.send(text);
     ASSERT_TRUE(run_until(io, [&] { return received.size() == 1; }));
 }
 
@@ -82,7 +82,7 @@
     for (int i = 0; i < 6; ++i) idle.emplace_back(io, address());
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 6; }));
     Client new_client(io, address());
-    new_client.say(request("a"));
+    new_client.send(request("a"));
     ASSERT_TRUE(answered(new_client));
     EXPECT_EQ(new_client.answers()[0].result_int(), 200u);
     EXPECT_TRUE(run_until(io, [&] { return idle[0].ended(); }));
@@ -95,11 +95,11 @@
     std::vector<Client> busy_clients;
     for (int i = 0; i < 6; ++i) {
         busy_clients.emplace_back(io, address());
-        busy_clients.back().say("GET / HTTP/1.1\r\n");  // an incomplete request
+        busy_clients.back().send("GET / HTTP/1.1\r\n");  // an incomplete request
     }
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 6; }));
     Client new_client(io, address());
-    new_client.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+    new_client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     busy_clients[3].close();
     ASSERT_TRUE(answered(new_client));
     EXPECT_EQ(new_client.answers()[0].result_int(), 200u);
@@ -117,12 +117,12 @@
     server.accept_requests();
     const auto sent_at = Steady::now();
     Client client(io, server.local_endpoint());
-    client.say(request("a"));
+    client.send(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return received.size() == 1; }));
     EXPECT_LE(received[0].arrived, sent_at);
     Client later(io, server.local_endpoint());
     const auto second_sent_at = Steady::now();
-    later.say(request("b"));
+    later.send(request("b"));
     ASSERT_TRUE(run_until(io, [&] { return received.size() == 2; }));
     EXPECT_GE(received[1].arrived, second_sent_at);
 }
@@ -138,11 +138,11 @@
     std::vector<Client> busy_clients;
     for (int i = 0; i < 6; ++i) {
         busy_clients.emplace_back(io, server.local_endpoint());
-        busy_clients.back().say(request("busy" + std::to_string(i)));
+        busy_clients.back().send(request("busy" + std::to_string(i)));
     }
     ASSERT_TRUE(run_until(io, [&] { return received.size() == 6; }));
     Client new_client(io, server.local_endpoint());
-    new_client.say(request("late"));
+    new_client.send(request("late"));
     while (io.poll() > 0) {  // until the server has found that the socket limit is reached
     }
     const auto waiting_since = Steady::now();
--- a/tests/server/shutdown_test.cpp
+++ b/tests/server/shutdown_test.cpp
@@ -8,14 +8,14 @@
     on_request = [](auto&) {};
     ASSERT_TRUE(starts());
     Client idle(io, address()), busy(io, address());
-    busy.say(request("a"));
+    busy.send(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
     bool done = false;
     gateway().drain([&] { done = true; });
     ASSERT_TRUE(run_until(io, [&] { return idle.ended(); }));
     // Clients still connect for a while after the signal.
     Client fresh(io, address());
-    fresh.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+    fresh.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     ASSERT_TRUE(answered(fresh));
     EXPECT_EQ(fresh.answers()[0].result_int(), 503u);
     EXPECT_FALSE(done);
@@ -37,8 +37,8 @@
     server.accept_requests();
     server.drain();
     Client first(io, server.local_endpoint()), second(io, server.local_endpoint());
-    first.say(request("a"));
-    second.say(request("b"));
+    first.send(request("a"));
+    second.send(request("b"));
     EXPECT_TRUE(server.accept_backlog());
     EXPECT_FALSE(server.accept_backlog());
     ASSERT_TRUE(run_until(io, [&] { return received.size() == 2; }));
@@ -61,7 +61,7 @@
     ASSERT_TRUE(run_until(io, [&] { return socket_budget.in_use(SocketBudget::Side::client) == 1; }));
     server.drain();
     EXPECT_TRUE(server.is_idle());
-    client.say(request("a"));
+    client.send(request("a"));
     EXPECT_FALSE(server.is_idle());
     ASSERT_TRUE(answered(client));
     EXPECT_TRUE(server.is_idle());
@@ -105,7 +105,7 @@
     on_request = [](auto&) {};
     ASSERT_TRUE(starts());
     Client client(io, address());
-    client.say(request("a", "", "read"));
+    client.send(request("a", "", "read"));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
     const auto started_at = std::chrono::steady_clock::now();
     bool done = false;
@@ -120,7 +120,7 @@
     deadline_ms = 100;
     ASSERT_TRUE(starts());
     Client incomplete(io, address());
-    incomplete.say("GET / HTTP/1.1\r\n");
+    incomplete.send("GET / HTTP/1.1\r\n");
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 1; }));
     bool done = false;
     gateway().drain([&] { done = true; });
--- a/tests/server/streamed_response_test.cpp
+++ b/tests/server/streamed_response_test.cpp
@@ -35,7 +35,7 @@
     std::size_t n = 0;
     for (const auto& text : {with_length, with_chunks, until_close, with_length}) {
         on_request = [&](auto& peer) { write_all(peer, text, text == until_close); };
-        client.say(request("a" + std::to_string(n)));
+        client.send(request("a" + std::to_string(n)));
         ASSERT_TRUE(run_until(
             io, [&] { return client.heard().size() > body.size() * (n + 1) && answered(client, n + 1); }));
         EXPECT_EQ(client.answers()[n].result_int(), 200u);
@@ -83,17 +83,17 @@
 TEST_F(StreamedResponseTest, AnIncompleteResponseClosesTheConnectionAndTheGatewayServesOthers) {
     ASSERT_TRUE(starts());
     on_request = [](auto& peer) {
-        peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                 as_chunk(std::string(100000, 'x')));
+        peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+                  as_chunk(std::string(100000, 'x')));
         peer.close();
     };
     Client client(io, address());
-    client.say(request("a"));
+    client.send(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return client.ended(); }));
     EXPECT_TRUE(client.answers().empty());
     on_request = [](auto& peer) { peer.ok("served"); };
     Client other(io, address());
-    other.say(request("b"));
+    other.send(request("b"));
     ASSERT_TRUE(answered(other));
     EXPECT_EQ(other.answers()[0].body(), "served");
 }
@@ -109,7 +109,7 @@
             [&, peer = peer.shared_from_this()](error_code ec, std::size_t) { ended = ec.failed(); });
     };
     Client client(io, address());
-    client.say(request("a"));
+    client.send(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return client.heard().size() > 100000; }));
     client.close();
     EXPECT_TRUE(run_until(io, [&] { return ended; }));
--- a/tests/server/system_call_test.cpp
+++ b/tests/server/system_call_test.cpp
@@ -29,7 +29,7 @@
     const ShortWrites short_writes;
     Client client(io, server->local_endpoint());
     for (std::size_t call = 1; call <= call_count; ++call) {
-        client.say("GET /api HTTP/1.1\r\nHost: x\r\n\r\n");
+        client.send("GET /api HTTP/1.1\r\nHost: x\r\n\r\n");
         ASSERT_TRUE(run_until(io, [&] { return client.answers().size() == call; })) << call;
     }
 }
@@ -50,7 +50,7 @@
     const ShortWrites short_writes;
     for (std::size_t call = 0; call < call_count; ++call) {
         Client caller(io, admin.local_endpoint());
-        caller.say("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
+        caller.send("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
         ASSERT_TRUE(run_until(io, [&] { return caller.ended(); }));
         ASSERT_EQ(caller.answers().size(), 1u) << call;
     }
@@ -105,7 +105,7 @@
     std::optional<Runtime> gateway;
     ASSERT_NO_THROW(gateway.emplace(io, budget, config));
     Client client(io, gateway->clients().local_endpoint());
-    client.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+    client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     EXPECT_TRUE(run_until(io, [&] { return client.answers().size() == 1; }));
 }
 
--- a/tests/server/upgrade_compatibility_test.cpp
+++ b/tests/server/upgrade_compatibility_test.cpp
@@ -87,7 +87,7 @@
         if (refused) return 0;
         attempt.close();
         Client client(io, endpoint(admin_port));
-        client.say(request);
+        client.send(request);
         EXPECT_TRUE(run_until(io, [&] { return client.ended(); }));
         return client.answers().empty() ? 0u : client.answers()[0].result_int();
     }
@@ -105,7 +105,7 @@
         return true;
     }
     unsigned request_on(Client& client) {
-        client.say(
+        client.send(
             "GET /api HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: a\r\nX-Qos: read\r\nX-Contract: wide\r\n"
             "X-Client-Id: 00000000b4d65521\r\nX-Expires-In-Ms: 4000\r\n"
             "X-Metering: units=1,spread=1,first=0\r\n\r\n");
--- a/tests/server/upgrade_test.cpp
+++ b/tests/server/upgrade_test.cpp
@@ -51,7 +51,7 @@
         if (ec) return 0;
         socket.close();
         Client client(io, loopback(admin));
-        client.say(text);
+        client.send(text);
         EXPECT_TRUE(run_until(io, [&] { return client.ended(); }));
         return client.answers().empty() ? 0u : client.answers()[0].result_int();
     }
@@ -77,7 +77,7 @@
     // Sends a request and returns the status of the next response; 0: the connection has ended without one.
     unsigned status_of(Client& client, const std::string& text) {
         const std::size_t before = client.answers().size();
-        client.say(text);
+        client.send(text);
         EXPECT_TRUE(run_until(io, [&] { return client.answers().size() > before || client.ended(); }));
         return client.answers().size() > before ? client.answers()[before].result_int() : 0;
     }
@@ -91,16 +91,16 @@
     // During the upgrade, one request is in flight and another is partly sent.
     std::shared_ptr<Server::Peer> in_flight;
     on_request = [&](auto& peer, const auto&) { in_flight = peer.shared_from_this(); };
-    busy.say(request("b"));
+    busy.send(request("b"));
     ASSERT_TRUE(run_until(io, [&] { return in_flight != nullptr; }));
     on_request = [](auto& peer, const auto& name) { peer.ok(name); };
     const std::string text = request("c");
-    half_sent.say(text.substr(0, 40));
+    half_sent.send(text.substr(0, 40));
     Program next(config(next_admin), handover_folder);
     ASSERT_TRUE(becomes_ready(next_admin));
     first.signal(SIGTERM);
     EXPECT_EQ(status_of(idle, request("d")), 200u);
-    half_sent.say(text.substr(40));
+    half_sent.send(text.substr(40));
     EXPECT_TRUE(run_until(io, [&] { return half_sent.answers().size() == 1 || half_sent.ended(); }));
     EXPECT_EQ(half_sent.answers().size(), 1u);
     in_flight->ok("late");
@@ -124,7 +124,7 @@
     ASSERT_EQ(status_of(idle, request("a")), 200u);
     const std::string text = request("b");
     first.signal(SIGSTOP);
-    half_sent.say(text.substr(0, 40));
+    half_sent.send(text.substr(0, 40));
     {
         const std::filesystem::path socket_path =
             std::filesystem::directory_iterator(handover_folder)->path();
@@ -136,7 +136,7 @@
     }
     first.signal(SIGCONT);
     EXPECT_EQ(status_of(idle, request("c")), 200u);
-    half_sent.say(text.substr(40));
+    half_sent.send(text.substr(40));
     ASSERT_TRUE(run_until(io, [&] { return half_sent.answers().size() == 1 || half_sent.ended(); }));
     EXPECT_EQ(half_sent.answers().size(), 1u);
     Client fresh(io, loopback(listen));
