--- a/tests/server/gateway_test.cpp
+++ b/tests/server/gateway_test.cpp
@@ -195,10 +195,10 @@
     Client client(io, address());
     std::string text = request("a");
     client.send("HEAD" + text.substr(3));
-    ASSERT_TRUE(run_until(io, [&] { return client.heard().find("\r\n\r\n") != std::string::npos; }));
-    EXPECT_EQ(client.heard().substr(0, 12), "HTTP/1.1 200");
-    EXPECT_NE(client.heard().find("Content-Length: 7\r\n"), std::string::npos);
-    EXPECT_EQ(client.heard().substr(client.heard().size() - 4), "\r\n\r\n");
+    ASSERT_TRUE(run_until(io, [&] { return client.received().find("\r\n\r\n") != std::string::npos; }));
+    EXPECT_EQ(client.received().substr(0, 12), "HTTP/1.1 200");
+    EXPECT_NE(client.received().find("Content-Length: 7\r\n"), std::string::npos);
+    EXPECT_EQ(client.received().substr(client.received().size() - 4), "\r\n\r\n");
     EXPECT_EQ(host.requests.at(0).method(), http::verb::head);
 }
 
--- a/tests/server/loopback.h
+++ b/tests/server/loopback.h
@@ -102,12 +102,12 @@
     }
     void send(const std::string& text) { asio::write(state_->socket, asio::buffer(text)); }
     void close() { state_->socket.close(); }
-    const std::string& heard() const { return state_->heard; }
+    const std::string& received() const { return state_->received; }
     bool ended() const { return state_->ended; }
     // Parses the complete responses received so far, in order.
     std::vector<Answer> answers() const {
         std::vector<Answer> all;
-        std::string_view unparsed = state_->heard;
+        std::string_view unparsed = state_->received;
         while (!unparsed.empty()) {
             http::response_parser<http::string_body> parser;
             parser.eager(true);
@@ -130,12 +130,12 @@
         explicit State(asio::io_context& io) : socket(io) {}
         tcp::socket socket;
         std::array<char, 65536> chunk{};
-        std::string heard;
+        std::string received;
         bool ended = false;
     };
     static void read(std::shared_ptr<State> s) {
         s->socket.async_read_some(asio::buffer(s->chunk), [s](error_code ec, std::size_t n) {
-            s->heard.append(s->chunk.data(), n);
+            s->received.append(s->chunk.data(), n);
             if (ec) s->ended = true;
             else read(s);
         });
--- a/tests/server/streamed_response_test.cpp
+++ b/tests/server/streamed_response_test.cpp
@@ -37,7 +37,7 @@
         on_request = [&](auto& peer) { write_all(peer, text, text == until_close); };
         client.send(request("a" + std::to_string(n)));
         ASSERT_TRUE(run_until(
-            io, [&] { return client.heard().size() > body.size() * (n + 1) && answered(client, n + 1); }));
+            io, [&] { return client.received().size() > body.size() * (n + 1) && answered(client, n + 1); }));
         EXPECT_EQ(client.answers()[n].result_int(), 200u);
         EXPECT_TRUE(client.answers()[n].body() == body);
         ++n;
@@ -67,16 +67,16 @@
     EXPECT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() > resume_at; }));
     // The host could write only as much as the kernel's buffers hold, plus a little in the gateway.
     EXPECT_LT(written_bytes, 20000000u);
-    std::size_t heard = 0;
+    std::size_t received_bytes = 0;
     std::vector<char> chunk(65536);
     std::function<void()> read = [&] {
         slow.async_read_some(asio::buffer(chunk), [&](error_code ec, std::size_t n) {
-            heard += n;
+            received_bytes += n;
             if (!ec) read();
         });
     };
     read();
-    EXPECT_TRUE(run_until(io, [&] { return heard > body.size(); }));
+    EXPECT_TRUE(run_until(io, [&] { return received_bytes > body.size(); }));
     slow.close();
 }
 
@@ -110,7 +110,7 @@
     };
     Client client(io, address());
     client.send(request("a"));
-    ASSERT_TRUE(run_until(io, [&] { return client.heard().size() > 100000; }));
+    ASSERT_TRUE(run_until(io, [&] { return client.received().size() > 100000; }));
     client.close();
     EXPECT_TRUE(run_until(io, [&] { return ended; }));
 }
