--- a/tests/server/admin_server_test.cpp
+++ b/tests/server/admin_server_test.cpp
@@ -17,7 +17,7 @@
     unsigned status_of(const std::string& text) {
         Client caller(io, admin.local_endpoint());
         caller.send(text);
-        EXPECT_TRUE(run_until(io, [&] { return caller.ended(); })) << text;
+        EXPECT_TRUE(run_until(io, [&] { return caller.closed(); })) << text;
         return caller.answers().empty() ? 0u : caller.answers()[0].result_int();
     }
     static std::string post(const std::string& path, const std::string& body = {}) {
@@ -67,7 +67,7 @@
     EXPECT_LT(std::chrono::steady_clock::now() - start, 500ms);
     EXPECT_EQ(calls.size(), 1u);
     // An incomplete request is answered with status 408 in time.
-    EXPECT_TRUE(run_until(io, [&] { return unfinished_callers[39]->ended(); }));
+    EXPECT_TRUE(run_until(io, [&] { return unfinished_callers[39]->closed(); }));
     EXPECT_EQ(unfinished_callers[39]->answers().at(0).result_int(), 408u);
     EXPECT_LT(std::chrono::steady_clock::now() - start, 1s);
 }
--- a/tests/server/client_disconnect_test.cpp
+++ b/tests/server/client_disconnect_test.cpp
@@ -91,21 +91,21 @@
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
     ASSERT_TRUE(time_passes(50ms));
     host.peers[0]->ok("served");
-    ASSERT_TRUE(run_until(io, [&] { return client.ended(); }));
+    ASSERT_TRUE(run_until(io, [&] { return client.closed(); }));
     ASSERT_EQ(client.answers().size(), 1u);
     EXPECT_EQ(client.answers()[0].body(), "served");
     // A client that never stops sending is disconnected.
     Client flooding_client(io, address());
     flooding_client.send(request("b"));
     try {
-        for (int i = 0; i < 40 && !flooding_client.ended(); ++i) {
+        for (int i = 0; i < 40 && !flooding_client.closed(); ++i) {
             flooding_client.send(std::string(16384, 'x'));
             ASSERT_TRUE(time_passes(2ms));
         }
     } catch (const boost::system::system_error&) {
         // The gateway closed the connection during a write.
     }
-    EXPECT_TRUE(run_until(io, [&] { return flooding_client.ended(); }));
+    EXPECT_TRUE(run_until(io, [&] { return flooding_client.closed(); }));
     EXPECT_TRUE(flooding_client.answers().empty());
 }
 
--- a/tests/server/gateway_test.cpp
+++ b/tests/server/gateway_test.cpp
@@ -17,7 +17,7 @@
     ASSERT_TRUE(time_passes(20ms));
     client.send(request("b"));
     ASSERT_TRUE(answered(client, 2));
-    EXPECT_FALSE(client.ended());
+    EXPECT_FALSE(client.closed());
     EXPECT_EQ(host.peers.size(), 1u);
 }
 
@@ -215,7 +215,7 @@
     for (int i = 1; i <= 16; ++i) {
         const auto next = begin + i * 200ms;
         ASSERT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() >= next; }));
-        if (!stuck_ended && stuck.ended()) {
+        if (!stuck_ended && stuck.closed()) {
             stuck_ended = true;
             EXPECT_LT(std::chrono::steady_clock::now() - begin, 3s);
         }
--- a/tests/server/invalid_request_test.cpp
+++ b/tests/server/invalid_request_test.cpp
@@ -39,7 +39,7 @@
          {endless, "1;" + endless, "1;a=\"" + endless, "0\r\nX-Trailer: " + endless}) {
         Client client(io, address());
         client.send("POST /api HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + line);
-        ASSERT_TRUE(run_until(io, [&] { return client.ended(); }));
+        ASSERT_TRUE(run_until(io, [&] { return client.closed(); }));
         ASSERT_EQ(client.answers().size(), 1u) << line.substr(0, 20);
         EXPECT_EQ(client.answers()[0].result_int() / 100, 4u);
     }
@@ -100,7 +100,7 @@
           "Content-Length: 5\nX: y\r\n"}) {
         Client client(io, address());
         client.send(head + fields + "\r\n0\r\n\r\n" + hidden);
-        ASSERT_TRUE(run_until(io, [&] { return client.ended(); })) << fields;
+        ASSERT_TRUE(run_until(io, [&] { return client.closed(); })) << fields;
         ASSERT_EQ(client.answers().size(), 1u) << fields;
         EXPECT_EQ(client.answers()[0].result_int(), 400u) << fields;
     }
--- a/tests/server/loopback.h
+++ b/tests/server/loopback.h
@@ -103,7 +103,7 @@
     void send(const std::string& text) { asio::write(state_->socket, asio::buffer(text)); }
     void close() { state_->socket.close(); }
     const std::string& received() const { return state_->received; }
-    bool ended() const { return state_->ended; }
+    bool closed() const { return state_->closed; }
     // Parses the complete responses received so far, in order.
     std::vector<Answer> answers() const {
         std::vector<Answer> all;
@@ -131,12 +131,12 @@
         tcp::socket socket;
         std::array<char, 65536> chunk{};
         std::string received;
-        bool ended = false;
+        bool closed = false;
     };
     static void read(std::shared_ptr<State> s) {
         s->socket.async_read_some(asio::buffer(s->chunk), [s](error_code ec, std::size_t n) {
             s->received.append(s->chunk.data(), n);
-            if (ec) s->ended = true;
+            if (ec) s->closed = true;
             else read(s);
         });
     }
--- a/tests/server/operator_test.cpp
+++ b/tests/server/operator_test.cpp
@@ -18,7 +18,7 @@
     unsigned call(const std::string& text) {
         Client caller(io, gateway().admin_server()->local_endpoint());
         caller.send(text);
-        EXPECT_TRUE(run_until(io, [&] { return caller.ended(); }));
+        EXPECT_TRUE(run_until(io, [&] { return caller.closed(); }));
         return caller.answers().empty() ? 0u : caller.answers()[0].result_int();
     }
     // Returns the status of a health check of the gateway, or 0 if there is no answer.
@@ -67,12 +67,12 @@
     health_checker.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     ASSERT_TRUE(answered(idle_client) && answered(health_checker));
     EXPECT_EQ(call(post("/standby")), 200u);
-    EXPECT_TRUE(run_until(io, [&] { return idle_client.ended() && health_checker.ended(); }));
+    EXPECT_TRUE(run_until(io, [&] { return idle_client.closed() && health_checker.closed(); }));
     EXPECT_EQ(health_status(), 503u);
     EXPECT_EQ(call("GET /status HTTP/1.1\r\nHost: x\r\n\r\n"), 200u);
     Client client_on_standby(io, address());
     client_on_standby.send(request("b"));
-    EXPECT_TRUE(run_until(io, [&] { return client_on_standby.ended(); }));
+    EXPECT_TRUE(run_until(io, [&] { return client_on_standby.closed(); }));
     ASSERT_EQ(client_on_standby.answers().size(), 1u);
     EXPECT_EQ(client_on_standby.answers()[0].result_int(), 200u);
     EXPECT_FALSE(client_on_standby.answers()[0].keep_alive());
--- a/tests/server/resource_limit_test.cpp
+++ b/tests/server/resource_limit_test.cpp
@@ -10,9 +10,9 @@
     served.send(request("a"));
     ASSERT_TRUE(answered(served));
     incomplete.send("GET / HTTP/1.1\r\n");
-    ASSERT_TRUE(run_until(io, [&] { return silent.ended() && incomplete.ended(); }));
+    ASSERT_TRUE(run_until(io, [&] { return silent.closed() && incomplete.closed(); }));
     EXPECT_EQ(incomplete.answers().at(0).result_int(), 408u);
-    EXPECT_FALSE(served.ended());
+    EXPECT_FALSE(served.closed());
 }
 
 TEST_F(GatewayTest, AtTheSocketLimitConnectionsWithoutARequestAreEvictedFirst) {
@@ -34,8 +34,8 @@
     Client new_client(io, address());
     new_client.send(request("late"));
     ASSERT_TRUE(answered(new_client));
-    ASSERT_TRUE(run_until(io, [&] { return silent_clients[0].ended(); }));
-    for (const Client& client : served_clients) EXPECT_FALSE(client.ended());
+    ASSERT_TRUE(run_until(io, [&] { return silent_clients[0].closed(); }));
+    for (const Client& client : served_clients) EXPECT_FALSE(client.closed());
 }
 
 // Clients that send one request and keep the connection open must not exhaust the descriptors that other
@@ -50,7 +50,7 @@
         ASSERT_TRUE(answered(keep_alive_clients.back()));
     }
     EXPECT_LE(budget->in_use(SocketBudget::Side::client), 12u);
-    EXPECT_FALSE(keep_alive_clients.back().ended());
+    EXPECT_FALSE(keep_alive_clients.back().closed());
 }
 
 TEST_F(GatewayTest, BodiesBeyondTheMemoryLimitAreRejected) {
@@ -85,7 +85,7 @@
     new_client.send(request("a"));
     ASSERT_TRUE(answered(new_client));
     EXPECT_EQ(new_client.answers()[0].result_int(), 200u);
-    EXPECT_TRUE(run_until(io, [&] { return idle[0].ended(); }));
+    EXPECT_TRUE(run_until(io, [&] { return idle[0].closed(); }));
 }
 
 TEST_F(GatewayTest, WithAllSocketsBusyANewClientWaitsUntilOneIsFree) {
--- a/tests/server/shutdown_test.cpp
+++ b/tests/server/shutdown_test.cpp
@@ -12,7 +12,7 @@
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
     bool done = false;
     gateway().drain([&] { done = true; });
-    ASSERT_TRUE(run_until(io, [&] { return idle.ended(); }));
+    ASSERT_TRUE(run_until(io, [&] { return idle.closed(); }));
     // Clients still connect for a while after the signal.
     Client fresh(io, address());
     fresh.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -125,7 +125,7 @@
     bool done = false;
     gateway().drain([&] { done = true; });
     EXPECT_TRUE(run_until(io, [&] { return done; }));
-    EXPECT_FALSE(incomplete.ended());
+    EXPECT_FALSE(incomplete.closed());
 }
 
 }  // namespace
--- a/tests/server/streamed_response_test.cpp
+++ b/tests/server/streamed_response_test.cpp
@@ -42,7 +42,7 @@
         EXPECT_TRUE(client.answers()[n].body() == body);
         ++n;
     }
-    EXPECT_FALSE(client.ended());
+    EXPECT_FALSE(client.closed());
 }
 
 TEST_F(StreamedResponseTest, WaitsForASlowClient) {
@@ -89,7 +89,7 @@
     };
     Client client(io, address());
     client.send(request("a"));
-    ASSERT_TRUE(run_until(io, [&] { return client.ended(); }));
+    ASSERT_TRUE(run_until(io, [&] { return client.closed(); }));
     EXPECT_TRUE(client.answers().empty());
     on_request = [](auto& peer) { peer.ok("served"); };
     Client other(io, address());
--- a/tests/server/system_call_test.cpp
+++ b/tests/server/system_call_test.cpp
@@ -51,7 +51,7 @@
     for (std::size_t call = 0; call < call_count; ++call) {
         Client caller(io, admin.local_endpoint());
         caller.send("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
-        ASSERT_TRUE(run_until(io, [&] { return caller.ended(); }));
+        ASSERT_TRUE(run_until(io, [&] { return caller.closed(); }));
         ASSERT_EQ(caller.answers().size(), 1u) << call;
     }
 }
--- a/tests/server/upgrade_compatibility_test.cpp
+++ b/tests/server/upgrade_compatibility_test.cpp
@@ -88,7 +88,7 @@
         attempt.close();
         Client client(io, endpoint(admin_port));
         client.send(request);
-        EXPECT_TRUE(run_until(io, [&] { return client.ended(); }));
+        EXPECT_TRUE(run_until(io, [&] { return client.closed(); }));
         return client.answers().empty() ? 0u : client.answers()[0].result_int();
     }
     unsigned post_admin(const std::string& path, const std::string& body = {}) {
@@ -109,7 +109,7 @@
             "GET /api HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: a\r\nX-Qos: read\r\nX-Contract: wide\r\n"
             "X-Client-Id: 00000000b4d65521\r\nX-Expires-In-Ms: 4000\r\n"
             "X-Metering: units=1,spread=1,first=0\r\n\r\n");
-        EXPECT_TRUE(run_until(io, [&] { return !client.answers().empty() || client.ended(); }));
+        EXPECT_TRUE(run_until(io, [&] { return !client.answers().empty() || client.closed(); }));
         return client.answers().empty() ? 0u : client.answers()[0].result_int();
     }
 
--- a/tests/server/upgrade_test.cpp
+++ b/tests/server/upgrade_test.cpp
@@ -52,7 +52,7 @@
         socket.close();
         Client client(io, loopback(admin));
         client.send(text);
-        EXPECT_TRUE(run_until(io, [&] { return client.ended(); }));
+        EXPECT_TRUE(run_until(io, [&] { return client.closed(); }));
         return client.answers().empty() ? 0u : client.answers()[0].result_int();
     }
     bool becomes_ready(std::uint16_t admin) {
@@ -78,7 +78,7 @@
     unsigned status_of(Client& client, const std::string& text) {
         const std::size_t before = client.answers().size();
         client.send(text);
-        EXPECT_TRUE(run_until(io, [&] { return client.answers().size() > before || client.ended(); }));
+        EXPECT_TRUE(run_until(io, [&] { return client.answers().size() > before || client.closed(); }));
         return client.answers().size() > before ? client.answers()[before].result_int() : 0;
     }
 };
@@ -101,10 +101,10 @@
     first.signal(SIGTERM);
     EXPECT_EQ(status_of(idle, request("d")), 200u);
     half_sent.send(text.substr(40));
-    EXPECT_TRUE(run_until(io, [&] { return half_sent.answers().size() == 1 || half_sent.ended(); }));
+    EXPECT_TRUE(run_until(io, [&] { return half_sent.answers().size() == 1 || half_sent.closed(); }));
     EXPECT_EQ(half_sent.answers().size(), 1u);
     in_flight->ok("late");
-    ASSERT_TRUE(run_until(io, [&] { return busy.answers().size() == 1 || busy.ended(); }));
+    ASSERT_TRUE(run_until(io, [&] { return busy.answers().size() == 1 || busy.closed(); }));
     ASSERT_EQ(busy.answers().size(), 1u);
     EXPECT_EQ(busy.answers()[0].result_int(), 200u);
     ASSERT_TRUE(run_until(io, [&] { return first.ended(); }));
@@ -137,7 +137,7 @@
     first.signal(SIGCONT);
     EXPECT_EQ(status_of(idle, request("c")), 200u);
     half_sent.send(text.substr(40));
-    ASSERT_TRUE(run_until(io, [&] { return half_sent.answers().size() == 1 || half_sent.ended(); }));
+    ASSERT_TRUE(run_until(io, [&] { return half_sent.answers().size() == 1 || half_sent.closed(); }));
     EXPECT_EQ(half_sent.answers().size(), 1u);
     Client fresh(io, loopback(listen));
     EXPECT_EQ(status_of(fresh, request("d")), 200u);
