--- a/tests/server/client_disconnect_test.cpp
+++ b/tests/server/client_disconnect_test.cpp
@@ -26,7 +26,7 @@
 // carry the request to a host. In one case, a third of the connections were established late, some of them
 // after the end of their request.
 TEST_F(GatewayTest, AnUnsentAttemptEndsWhenItsClientDisconnects) {
-    NeverUp unreachable(io);
+    UnreachableServer unreachable(io);
     endpoint_list =
         complete_list(1, endpoint_entry("n", "127.0.0.1:" + std::to_string(unreachable.endpoint().port())));
     may = R"("connectTimeoutUs":14000000,)";
@@ -40,7 +40,7 @@
 }
 
 TEST_F(GatewayTest, AnUnsentHedgeEndsWhenTheFirstAttemptIsAnswered) {
-    NeverUp unreachable(io);
+    UnreachableServer unreachable(io);
     deadline_ms = 4000;
     may = R"("connectTimeoutUs":14000000,"mayDuplicate":true,)";
     ASSERT_TRUE(starts());
--- a/tests/server/host_pool_test.cpp
+++ b/tests/server/host_pool_test.cpp
@@ -285,7 +285,7 @@
     send(1);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 1; }));
     EXPECT_EQ(results[0].result.outcome, HostOutcome::connect_failed);
-    NeverUp silent(io);
+    UnreachableServer silent(io);
     update_host(silent.endpoint());
     send(2);
     ASSERT_TRUE(run_until(io, [&] { return results.size() == 2; }));
@@ -350,7 +350,7 @@
 
 // A connect that is pending when the host starts to drain would send its request when it succeeds.
 TEST_F(HostPoolTest, NoRequestIsSentToADrainingHost) {
-    NeverUp slow(io);
+    UnreachableServer slow(io);
     update_host(slow.endpoint());
     send(1);
     EXPECT_TRUE(results.empty());
--- a/tests/server/loopback.h
+++ b/tests/server/loopback.h
@@ -145,9 +145,9 @@
 
 // An address at which connections are never established: the listener accepts none, and its backlog in the
 // kernel is full.
-class NeverUp {
+class UnreachableServer {
   public:
-    explicit NeverUp(asio::io_context& io) : acceptor_(io) {
+    explicit UnreachableServer(asio::io_context& io) : acceptor_(io) {
         acceptor_.open(tcp::v4());
         acceptor_.bind(any_port());
         acceptor_.listen(0);
