--- a/tests/server/client_disconnect_test.cpp
+++ b/tests/server/client_disconnect_test.cpp
@@ -29,7 +29,7 @@
     UnreachableServer unreachable(io);
     endpoint_list =
         complete_list(1, endpoint_entry("n", "127.0.0.1:" + std::to_string(unreachable.endpoint().port())));
-    may = R"("connectTimeoutUs":14000000,)";
+    extra_ceilings = R"("connectTimeoutUs":14000000,)";
     ASSERT_TRUE(starts());
     Client client(io, address());
     client.send(request("a"));
@@ -42,7 +42,7 @@
 TEST_F(GatewayTest, AnUnsentHedgeEndsWhenTheFirstAttemptIsAnswered) {
     UnreachableServer unreachable(io);
     deadline_ms = 4000;
-    may = R"("connectTimeoutUs":14000000,"mayDuplicate":true,)";
+    extra_ceilings = R"("connectTimeoutUs":14000000,"mayDuplicate":true,)";
     ASSERT_TRUE(starts());
     Client client(io, address());
     std::size_t requests_received = 0;
@@ -67,7 +67,7 @@
 
 // Guards against clients that send much data and then disconnect: unread bytes must not hide the disconnect.
 TEST_F(GatewayTest, ADisconnectBehindUnreadBytesCancelsTheAttempt) {
-    may = R"("cancel":true,)";
+    extra_ceilings = R"("cancel":true,)";
     on_request = [](auto&) {};
     ASSERT_TRUE(starts());
     for (const std::size_t excess_bytes : {5000u, 40000u}) {
--- a/tests/server/gateway_fixture.h
+++ b/tests/server/gateway_fixture.h
@@ -47,7 +47,7 @@
     // Further keys of the configuration file, each followed by a comma.
     std::string extra;
     // Further keys of `ceilings` in the settings, each followed by a comma.
-    std::string may;
+    std::string extra_ceilings;
     // The value of `membershipMode` in the settings.
     std::string mode = "automatic";
     std::optional<Runtime> runtime;
@@ -61,7 +61,7 @@
                 R"(],"familyInfo":{"unitsTop":2},"requestClasses":[{"name":"read","effect":"retryable","deadlineUs":)" +
                 std::to_string(deadline_ms) +
                 R"(000,"value":1},{"name":"book","effect":"fragile","deadlineUs":)" +
-                std::to_string(deadline_ms) + R"(000,"value":1}],"ceilings":{)" + may +
+                std::to_string(deadline_ms) + R"(000,"value":1}],"ceilings":{)" + extra_ceilings +
                 R"("maxAttempts":4,"retryAfter":true},)"
                 R"("guarantees":{"startCapacity":0.2,"coldUs":1000000,"fallUs":1000000}}})",
             [](const char*) { return nullptr; });
