--- a/tests/server/gateway_fixture.h
+++ b/tests/server/gateway_fixture.h
@@ -45,7 +45,7 @@
     Server discovery{io, [this](auto& peer) { on_list_call(peer); }};
     std::string plan = R"({"name":"basic","rate":1000,"mostAtOnce":1000,"worthFactor":1})";
     // Further keys of the configuration file, each followed by a comma.
-    std::string extra;
+    std::string extra_config;
     // Further keys of `ceilings` in the settings, each followed by a comma.
     std::string extra_ceilings;
     // The value of `membershipMode` in the settings.
@@ -55,9 +55,9 @@
     void SetUp() override { endpoint_list = complete_list(1, endpoint_entry("h", host.address())); }
     Config config() const {
         return parse_config(
-            R"({"name":"n0","listen":"127.0.0.1:0","discovery":")" + discovery.address() + R"(",)" + extra +
-                R"("settings":{"rank":0,"instances":1,"locality":"a","membershipMode":")" + mode +
-                R"(","tickUs":4000,"tiersOfService":[)" + plan +
+            R"({"name":"n0","listen":"127.0.0.1:0","discovery":")" + discovery.address() + R"(",)" +
+                extra_config + R"("settings":{"rank":0,"instances":1,"locality":"a","membershipMode":")" +
+                mode + R"(","tickUs":4000,"tiersOfService":[)" + plan +
                 R"(],"familyInfo":{"unitsTop":2},"requestClasses":[{"name":"read","effect":"retryable","deadlineUs":)" +
                 std::to_string(deadline_ms) +
                 R"(000,"value":1},{"name":"book","effect":"fragile","deadlineUs":)" +
--- a/tests/server/gateway_test.cpp
+++ b/tests/server/gateway_test.cpp
@@ -26,7 +26,7 @@
 // stopped waiting.
 TEST_F(GatewayTest, ARequestThatExpiresBeforeTheGatewayOpensIsRejectedAtOnce) {
     endpoint_list.clear();
-    extra = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
+    extra_config = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
     gateway();
     Client client(io, address());
     client.send(request("a", {}, "read", 50ms));
--- a/tests/server/known_list_test.cpp
+++ b/tests/server/known_list_test.cpp
@@ -9,7 +9,7 @@
 // The first calls of all gateways were twice what discovery can serve, and most of them were rejected.
 TEST_F(GatewayTest, InSubscribeModeTheFirstPollStartsFromTheKnownList) {
     mode = "subscribe";
-    extra = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
+    extra_config = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
     endpoint_list = R"({"rev":9,"all":false,"targets":[]})";
     on_list_call = [this](Server::Peer& peer) {
         if (peer.request.target().find("hold_ms=0") != std::string::npos) peer.ok(endpoint_list);
@@ -23,7 +23,7 @@
 // If discovery has restarted its version numbers, a watch from the known version might never be answered.
 TEST_F(GatewayTest, IfDiscoverysVersionIsOlderTheCompleteListIsPolled) {
     mode = "subscribe";
-    extra = R"("known":)" + complete_list(7, endpoint_entry("gone", "127.0.0.1:1")) + ",";
+    extra_config = R"("known":)" + complete_list(7, endpoint_entry("gone", "127.0.0.1:1")) + ",";
     on_list_call = [this](Server::Peer& peer) {
         if (peer.request.target() == "/catalog/members")
             peer.ok(complete_list(2, endpoint_entry("h", host.address())));
@@ -54,7 +54,7 @@
 
 TEST_F(GatewayTest, ServesFromTheKnownListWhileDiscoveryDoesNotRespond) {
     endpoint_list.clear();
-    extra = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
+    extra_config = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
     ASSERT_TRUE(starts());
     Client client(io, address());
     client.send(request("a"));
@@ -65,7 +65,7 @@
 TEST_F(GatewayTest, RequestsWaitBrieflyForTheFirstAnswerOfDiscovery) {
     std::string next_list = std::exchange(endpoint_list, {});
     Server removed_host(io, [](auto& peer) { peer.ok("left"); });
-    extra = R"("known":)" + complete_list(7, endpoint_entry("l", removed_host.address())) + ",";
+    extra_config = R"("known":)" + complete_list(7, endpoint_entry("l", removed_host.address())) + ",";
     gateway();
     Client client(io, address());
     client.send(request("a"));
--- a/tests/server/operator_test.cpp
+++ b/tests/server/operator_test.cpp
@@ -12,7 +12,7 @@
 struct OperatorTest : GatewayTest {
     void SetUp() override {
         GatewayTest::SetUp();
-        extra = R"("mgmt":"127.0.0.1:0",)";
+        extra_config = R"("mgmt":"127.0.0.1:0",)";
     }
     // Makes an admin call and returns the status of the answer, or 0 if there is none.
     unsigned call(const std::string& text) {
