--- a/tests/server/gateway_fixture.h
+++ b/tests/server/gateway_fixture.h
@@ -49,7 +49,7 @@
     // Further keys of `ceilings` in the settings, each followed by a comma.
     std::string extra_ceilings;
     // The value of `membershipMode` in the settings.
-    std::string mode = "automatic";
+    std::string membership_mode = "automatic";
     std::optional<Runtime> runtime;
 
     void SetUp() override { endpoint_list = complete_list(1, endpoint_entry("h", host.address())); }
@@ -57,7 +57,7 @@
         return parse_config(
             R"({"name":"n0","listen":"127.0.0.1:0","discovery":")" + discovery.address() + R"(",)" +
                 extra_config + R"("settings":{"rank":0,"instances":1,"locality":"a","membershipMode":")" +
-                mode + R"(","tickUs":4000,"tiersOfService":[)" + plan +
+                membership_mode + R"(","tickUs":4000,"tiersOfService":[)" + plan +
                 R"(],"familyInfo":{"unitsTop":2},"requestClasses":[{"name":"read","effect":"retryable","deadlineUs":)" +
                 std::to_string(deadline_ms) +
                 R"(000,"value":1},{"name":"book","effect":"fragile","deadlineUs":)" +
--- a/tests/server/known_list_test.cpp
+++ b/tests/server/known_list_test.cpp
@@ -8,7 +8,7 @@
 // Regression: a poll for the complete list starts no watch, so each gateway made a second call for its watch.
 // The first calls of all gateways were twice what discovery can serve, and most of them were rejected.
 TEST_F(GatewayTest, InSubscribeModeTheFirstPollStartsFromTheKnownList) {
-    mode = "subscribe";
+    membership_mode = "subscribe";
     extra_config = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
     endpoint_list = R"({"rev":9,"all":false,"targets":[]})";
     on_list_call = [this](Server::Peer& peer) {
@@ -22,7 +22,7 @@
 
 // If discovery has restarted its version numbers, a watch from the known version might never be answered.
 TEST_F(GatewayTest, IfDiscoverysVersionIsOlderTheCompleteListIsPolled) {
-    mode = "subscribe";
+    membership_mode = "subscribe";
     extra_config = R"("known":)" + complete_list(7, endpoint_entry("gone", "127.0.0.1:1")) + ",";
     on_list_call = [this](Server::Peer& peer) {
         if (peer.request.target() == "/catalog/members")
