--- a/tests/server/client_disconnect_test.cpp
+++ b/tests/server/client_disconnect_test.cpp
@@ -6,7 +6,7 @@
 
 TEST_F(GatewayTest, ADisconnectedClientReleasesItsConnectionAndTheNextClientIsServed) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     {
         Client client(io, address());
         client.send(request("a"));
@@ -30,7 +30,7 @@
     endpoint_list =
         complete_list(1, endpoint_entry("n", "127.0.0.1:" + std::to_string(unreachable.endpoint().port())));
     extra_ceilings = R"("connectTimeoutUs":14000000,)";
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     client.send(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::host) == 1; }));
@@ -43,7 +43,7 @@
     UnreachableServer unreachable(io);
     deadline_ms = 4000;
     extra_ceilings = R"("connectTimeoutUs":14000000,"mayDuplicate":true,)";
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     std::size_t requests_received = 0;
     for (; requests_received < 5; ++requests_received) {
@@ -69,7 +69,7 @@
 TEST_F(GatewayTest, ADisconnectBehindUnreadBytesCancelsTheAttempt) {
     extra_ceilings = R"("cancel":true,)";
     on_request = [](auto&) {};
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     for (const std::size_t excess_bytes : {5000u, 40000u}) {
         Client client(io, address());
         client.send(request("a") + std::string(excess_bytes, 'x'));
@@ -85,7 +85,7 @@
 
 TEST_F(GatewayTest, AClientThatSendsExcessDataIsAnsweredAndDisconnected) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     client.send(request("a") + std::string(40000, 'x'));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
--- a/tests/server/gateway_fixture.h
+++ b/tests/server/gateway_fixture.h
@@ -74,7 +74,7 @@
         return *runtime;
     }
     tcp::endpoint address() { return gateway().clients().local_endpoint(); }
-    bool starts() {
+    bool becomes_ready() {
         gateway();
         return run_until(io, [&] { return gateway().ready(); });
     }
--- a/tests/server/gateway_test.cpp
+++ b/tests/server/gateway_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TEST_F(GatewayTest, ServesARequestAndKeepsTheConnectionAlive) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     client.send(request("a"));
     ASSERT_TRUE(answered(client));
@@ -39,7 +39,7 @@
 TEST_F(GatewayTest, ARequestThatExpiresBehindAnotherIsRejectedAtOnce) {
     std::vector<std::shared_ptr<Server::Peer>> held_requests;
     on_request = [&](Server::Peer& peer) { held_requests.push_back(peer.shared_from_this()); };
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     client.send(request("a") + request("b", {}, "read", 20ms));
     ASSERT_TRUE(run_until(io, [&] { return held_requests.size() == 1; }));
@@ -52,7 +52,7 @@
 }
 
 TEST_F(GatewayTest, ARequestThatExpiresDuringThePauseAfterAnInvalidOneIsRejectedAtOnce) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     // Each invalid request doubles the pause after it, to 160 ms after the last one.
     for (std::size_t invalid = 1; invalid <= 4; ++invalid) {
@@ -67,7 +67,7 @@
 
 TEST_F(GatewayTest, MetricsCountRejectionsAndClosedConnectionsByReason) {
     plan = R"({"name":"basic","rate":0.001,"mostAtOnce":2,"excessCost":1,"worthFactor":1})";
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     for (std::size_t call = 1; call <= 6; ++call) {
         client.send(request(std::string("a").append(std::to_string(call))));
@@ -91,7 +91,7 @@
 
 TEST_F(GatewayTest, ACustomerOverItsQuotaIsRejectedAtOnceWithRetryAfter) {
     plan = R"({"name":"basic","rate":0.001,"mostAtOnce":2,"excessCost":1,"worthFactor":1})";
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     std::size_t sent = 0;
     do {
@@ -107,7 +107,7 @@
     Server broken(io, [](auto& peer) { peer.reset(); });
     endpoint_list =
         complete_list(1, endpoint_entry("b", broken.address()) + "," + endpoint_entry("h", host.address()));
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     for (std::size_t i = 1; broken.requests.empty() && i < 50; ++i) {
         client.send(request(std::string("r").append(std::to_string(i))));
@@ -119,7 +119,7 @@
 
 TEST_F(GatewayTest, ARequestIsAnsweredByItsDeadlineWhenItsHostDoesNotRespond) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     std::string text = request("a");
     text.replace(text.find("15000"), 5, "100");
@@ -131,7 +131,7 @@
 }
 
 TEST_F(GatewayTest, AReloadMovesTheWatchAndKeepsTheListInUse) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Server other(io, [](auto& peer) { peer.ok("other"); });
     // The list that the new discovery server sends; it does not respond while this is empty.
     std::string next_list;
@@ -179,7 +179,7 @@
 // Guards against the loss of a chunked body: a host once received no body, because the forwarded request did
 // not state its length.
 TEST_F(GatewayTest, AChunkedRequestReachesTheHostWithItsCompleteBody) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     std::string text = request("a", "Transfer-Encoding: chunked\r\n", "book");
     text.replace(0, 3, "POST");
@@ -190,7 +190,7 @@
 }
 
 TEST_F(GatewayTest, AHeadRequestIsForwardedAndAnsweredWithoutABody) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     on_request = [](auto& peer) { peer.send("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"); };
     Client client(io, address());
     std::string text = request("a");
@@ -203,7 +203,7 @@
 }
 
 TEST_F(GatewayTest, ASlowBodyIsAcceptedAsLongAsItMakesProgress) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address()), stuck(io, address());
     std::string text = request("a", "Content-Length: 32768\r\n", "book");
     text.replace(0, 3, "POST");
--- a/tests/server/invalid_request_test.cpp
+++ b/tests/server/invalid_request_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TEST_F(GatewayTest, InvalidRequestsAreAnsweredAndDoNotAffectOtherClients) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     const auto status = [&](const std::string& text) {
         Client client(io, address());
         client.send(text);
@@ -33,7 +33,7 @@
 // Guards against an exception that ended the process: for a line without an end in a chunked body, the parser
 // requested more bytes than its full buffer could hold.
 TEST_F(GatewayTest, AnEndlessLineInAChunkedBodyClosesOnlyItsConnection) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     const std::string endless(200'000, '1');
     for (const std::string& line :
          {endless, "1;" + endless, "1;a=\"" + endless, "0\r\nX-Trailer: " + endless}) {
@@ -52,7 +52,7 @@
 // Requests with invalid attributes must neither reach a host nor be charged to a customer's quota.
 TEST_F(GatewayTest, RequestsThatContradictTheSettingsAreNeverForwarded) {
     plan = R"({"name":"basic","rate":0.001,"mostAtOnce":2,"excessCost":1,"worthFactor":1})";
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     const std::string valid_request = request("a");
     const auto status = [&](const std::string& from, const std::string& to) {
         std::string text = valid_request;
@@ -86,7 +86,7 @@
 // Guards against request smuggling: two parsers that disagree about the end of a message let an unchecked
 // request through.
 TEST_F(GatewayTest, ARequestOfAmbiguousLengthIsRejectedAndNotForwarded) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     std::string hidden = request("hidden"), head = request("a", "", "book");
     head.replace(0, 3, "POST");
     head.resize(head.size() - 2);
@@ -109,7 +109,7 @@
 
 TEST_F(GatewayTest, ARequestWithATraceIdInFlightIsRejected) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client first(io, address()), second(io, address());
     first.send(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
--- a/tests/server/known_list_test.cpp
+++ b/tests/server/known_list_test.cpp
@@ -14,7 +14,7 @@
     on_list_call = [this](Server::Peer& peer) {
         if (peer.request.target().find("hold_ms=0") != std::string::npos) peer.ok(endpoint_list);
     };
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     ASSERT_TRUE(run_until(io, [&] { return discovery.targets.size() >= 2; }));
     EXPECT_EQ(discovery.targets[0], "/catalog/members?from=7&hold_ms=0");
     EXPECT_EQ(discovery.targets[1].substr(0, 33), "/catalog/members?from=9&hold_ms=1");
@@ -30,7 +30,7 @@
         else if (peer.request.target().find("hold_ms=0") != std::string::npos)
             peer.ok(R"({"rev":2,"all":false,"targets":[]})");
     };
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     ASSERT_TRUE(run_until(io, [&] { return discovery.targets.size() >= 3; }));
     EXPECT_EQ(discovery.targets[1], "/catalog/members");
     EXPECT_EQ(discovery.targets[2].substr(0, 24), "/catalog/members?from=2&");
@@ -46,7 +46,7 @@
     EXPECT_EQ(client.answers()[0].result_int(), 503u);
     endpoint_list = complete_list(2, endpoint_entry("h", host.address()));
     for (const auto& peer : discovery.peers) peer->close();
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     ASSERT_TRUE(answered(client, 2));
     EXPECT_EQ(client.answers()[1].result_int(), 200u);
@@ -55,7 +55,7 @@
 TEST_F(GatewayTest, ServesFromTheKnownListWhileDiscoveryDoesNotRespond) {
     endpoint_list.clear();
     extra_config = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     client.send(request("a"));
     ASSERT_TRUE(answered(client));
--- a/tests/server/operator_test.cpp
+++ b/tests/server/operator_test.cpp
@@ -34,7 +34,7 @@
     Server other(io, [](auto& peer) { peer.ok("other"); });
     endpoint_list =
         complete_list(1, endpoint_entry("h", host.address()) + "," + endpoint_entry("g", other.address()));
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     EXPECT_EQ(call(post("/maintenance/enter", "nobody")), 404u);
     EXPECT_EQ(call(post("/maintenance/enter", "h")), 200u);
     EXPECT_EQ(call(post("/maintenance/enter", "h")), 200u);
@@ -60,7 +60,7 @@
 }
 
 TEST_F(OperatorTest, OnStandbyRequestsAreAnsweredAndConnectionsClosedUntilActive) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     EXPECT_EQ(call("GET /status HTTP/1.1\r\nHost: x\r\n\r\n"), 200u);
     Client idle_client(io, address()), health_checker(io, address());
     idle_client.send(request("a"));
--- a/tests/server/resource_limit_test.cpp
+++ b/tests/server/resource_limit_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TEST_F(GatewayTest, ConnectionsWithoutACompleteRequestInTimeAreClosed) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client served(io, address()), silent(io, address()), incomplete(io, address());
     served.send(request("a"));
     ASSERT_TRUE(answered(served));
@@ -17,7 +17,7 @@
 
 TEST_F(GatewayTest, AtTheSocketLimitConnectionsWithoutARequestAreEvictedFirst) {
     sockets = 60;  // at most 36 for clients
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     std::vector<Client> served_clients, silent_clients;
     for (std::size_t i = 0; i < 5; ++i) {
         served_clients.emplace_back(io, address());
@@ -42,7 +42,7 @@
 // clients need to connect.
 TEST_F(GatewayTest, KeepAliveConnectionsUseOnlyAShareOfTheDescriptors) {
     sockets = 60;  // at most ten for idle keep-alive connections, fewer than clients may hold in total
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     std::vector<Client> keep_alive_clients;
     for (std::size_t i = 0; i < 20; ++i) {
         keep_alive_clients.emplace_back(io, address());
@@ -77,7 +77,7 @@
 
 TEST_F(GatewayTest, AtTheSocketLimitAnIdleClientIsEvictedForANewOne) {
     sockets = 10;  // at most six for clients
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     std::vector<Client> idle;
     for (int i = 0; i < 6; ++i) idle.emplace_back(io, address());
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 6; }));
@@ -91,7 +91,7 @@
 TEST_F(GatewayTest, WithAllSocketsBusyANewClientWaitsUntilOneIsFree) {
     sockets = 10;
     on_request = [](auto&) {};
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     std::vector<Client> busy_clients;
     for (int i = 0; i < 6; ++i) {
         busy_clients.emplace_back(io, address());
--- a/tests/server/shutdown_test.cpp
+++ b/tests/server/shutdown_test.cpp
@@ -6,7 +6,7 @@
 
 TEST_F(GatewayTest, AShutdownAnswersRequestsInFlight) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client idle(io, address()), busy(io, address());
     busy.send(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
@@ -103,7 +103,7 @@
 // SIGKILL may follow SIGTERM after 3.7 s, even if the deadline of a request is later.
 TEST_F(GatewayTest, RequestsInFlightAreAnsweredBeforeSigkill) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     client.send(request("a", "", "read"));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
@@ -118,7 +118,7 @@
 
 TEST_F(GatewayTest, AnIncompleteRequestDoesNotDelayAShutdown) {
     deadline_ms = 100;
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client incomplete(io, address());
     incomplete.send("GET / HTTP/1.1\r\n");
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 1; }));
--- a/tests/server/streamed_response_test.cpp
+++ b/tests/server/streamed_response_test.cpp
@@ -30,7 +30,7 @@
     const auto with_chunks = std::make_shared<std::string>(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked + "0\r\nX-Sum: 1\r\n\r\n");
     const auto until_close = std::make_shared<std::string>("HTTP/1.1 200 OK\r\n\r\n" + body);
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     std::size_t n = 0;
     for (const auto& text : {with_length, with_chunks, until_close, with_length}) {
@@ -46,7 +46,7 @@
 }
 
 TEST_F(StreamedResponseTest, WaitsForASlowClient) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     const std::string body = bytes(30000000);
     const auto text =
         std::make_shared<std::string>("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" + body);
@@ -81,7 +81,7 @@
 }
 
 TEST_F(StreamedResponseTest, AnIncompleteResponseClosesTheConnectionAndTheGatewayServesOthers) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     on_request = [](auto& peer) {
         peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                   as_chunk(std::string(100000, 'x')));
@@ -99,7 +99,7 @@
 }
 
 TEST_F(StreamedResponseTest, ADisconnectOfTheClientEndsTheAttempt) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     const auto text = std::make_shared<std::string>("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" +
                                                     std::string(30000000, 'x'));
     bool ended = false;
