--- a/src/decision/health_checker.h
+++ b/src/decision/health_checker.h
@@ -16,14 +16,14 @@
     explicit HealthChecker(Context& context) : context_(context) {}
 
     // Credits the budget for one arrived request with this gateway's part of the fleet's health checks.
-    void earn();
+    void credit_request();
     // Takes `checks` health checks from the budget. Returns false and takes nothing if the budget holds
     // fewer.
-    [[nodiscard]] bool take(std::size_t checks);
+    [[nodiscard]] bool take_checks(std::size_t checks);
     // Registers the request as waiting for the host's health check. Sends the check unless one is in flight.
-    void request(Host& host, RequestId id);
+    void await_check(Host& host, RequestId id);
     // Ends the host's health check. Returns the requests that waited for it.
-    [[nodiscard]] static std::vector<RequestId> finish(Host& host);
+    [[nodiscard]] static std::vector<RequestId> end_check(Host& host);
 
   private:
     // The most health checks that the budget holds. The budget is full at the start.
--- a/src/decision/request_dispatch.cpp
+++ b/src/decision/request_dispatch.cpp
@@ -66,7 +66,7 @@
         request.health_check_rounds = max_health_check_rounds;
         return false;
     }
-    if (modules_.health_checker.take(request.candidates.size())) {
+    if (modules_.health_checker.take_checks(request.candidates.size())) {
         check_health_of_candidates(request);
         return true;
     }
@@ -81,7 +81,8 @@
     request.queued = false;
     request.checking_health = true;
     request.health_checks_in_flight = static_cast<int>(request.candidates.size());
-    for (Host* const host : request.candidates) modules_.health_checker.request(*host, request.arrival.id);
+    for (Host* const host : request.candidates)
+        modules_.health_checker.await_check(*host, request.arrival.id);
     context_.set_timer(health_check_wait, request.arrival.id, TimerKind::health_check);
 }
 
@@ -125,13 +126,13 @@
     const bool success = check.outcome == Outcome::success;
     if (success) modules_.load.record_report(*host, check.report);
     else modules_.outliers.record_failed_health_check(*host);
-    for (const RequestId id : HealthChecker::finish(*host)) {
+    for (const RequestId id : HealthChecker::end_check(*host)) {
         Request* const request = find(id);
         if (request == nullptr || !request->checking_health) continue;
         if (std::count(request->candidates.begin(), request->candidates.end(), host) == 0) continue;
         --request->health_checks_in_flight;
         const bool can_accept = success && host->load.idle && modules_.selector.has_capacity(*host) &&
-                                modules_.selector.may_take(*host, *request);
+                                modules_.selector.rules_allow(*host, *request);
         if (can_accept) send(*request, *host);
         else if (request->health_checks_in_flight <= 0) send_to_best_candidate(*request);
     }
@@ -205,7 +206,7 @@
     // The retry has to go to a host that shares its store of idempotency keys with the last attempt's host,
     // so the zone and cell of that host are checked.
     const RequestHistory::Attempt& last = request.history.attempts().back();
-    const HostPlace last_location{last.zone, last.cell};
+    const HostLocation last_location{last.zone, last.cell};
     const Micros now = context_.now();
     const SendVerdict verdict =
         modules_.rules.check_send(class_of(request), request.history, last_location, now);
@@ -215,7 +216,7 @@
     // work, because the rejected attempt was not executed, so it does not use the retry budget.
     const bool adds_no_work =
         !request.history.may_have_run() && modules_.load.responds_fast(objective_s(&request));
-    if (!adds_no_work && !modules_.retries.take())
+    if (!adds_no_work && !modules_.retries.take_retry())
         return give_up(request, RejectionReason::retry_budget_exhausted);
     dispatch(request);
 }
@@ -235,7 +236,7 @@
     if (class_of(request).idempotency != Idempotency::idempotent) return;
     if (request.history.count() >= settings.max_attempts || context_.now() >= request.latest_start) return;
     if (settings.may_hedge) {
-        if (!modules_.retries.take()) return;
+        if (!modules_.retries.take_retry()) return;
         request.next_reason = AttemptReason::hedge;
         try_send(request);
     } else if (settings.may_cancel) {
--- a/src/server/client_server.cpp
+++ b/src/server/client_server.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 constexpr std::chrono::milliseconds timeout_check_interval = 100ms;
-// Known connections may hold one in this many descriptors; beyond that, each new connection evicts the idle
-// known one that was used longest ago. Guards against clients that send one request and never close their
-// connection, so that too few descriptors are left for other clients.
+// The number of known connections is limited to the socket limit divided by this number. Above the limit,
+// each new connection evicts the idle known connection that was used longest ago. Guards against clients that
+// send one request and never close their connection, so that too few descriptors are left for other clients.
 constexpr std::size_t max_known_divisor = 6;
 }  // namespace
 
@@ -26,8 +26,8 @@
       budget_(budget),
       callbacks_(std::move(callbacks)),
       listener_(io, listen, budget,
-                {[this](tcp::socket&& socket, SocketBudget::Place&& place, Steady::time_point connected_by) {
-                     on_connection(std::move(socket), std::move(place), connected_by);
+                {[this](tcp::socket&& socket, SocketBudget::Slot&& slot, Steady::time_point connected_at) {
+                     on_connection(std::move(socket), std::move(slot), connected_at);
                  },
                  [this] { connections_.evict_one(); }},
                 std::move(listener)),
@@ -46,21 +46,20 @@
     connections_.close_all(ClientCloseReason::shutdown);
 }
 
-void ClientServer::on_connection(tcp::socket&& socket, SocketBudget::Place&& place,
-                                 Steady::time_point connected_by) {
-    const auto connection = make_connection(std::move(socket), std::move(place), connected_by);
+void ClientServer::on_connection(tcp::socket&& socket, SocketBudget::Slot&& slot,
+                                 Steady::time_point connected_at) {
+    const auto connection = make_connection(std::move(socket), std::move(slot), connected_at);
     connections_.add_newcomer(connection);
     LogLine(LogLevel::debug, "client_accepted").with("connection", connection->number());
     connection->start();
     if (connections_.known_count() > budget_.limit() / max_known_divisor) connections_.evict_one_idle();
 }
 
-ClientServer::ConnectionPointer ClientServer::make_connection(tcp::socket&& socket,
-                                                              SocketBudget::Place&& place,
-                                                              Steady::time_point connected_by) {
+ClientServer::ConnectionPointer ClientServer::make_connection(tcp::socket&& socket, SocketBudget::Slot&& slot,
+                                                              Steady::time_point connected_at) {
     ClientConnectionOwner& owner = *this;
     return std::make_shared<ClientConnection>(io_, owner, connections_, body_budget_, std::move(socket),
-                                              std::move(place), next_connection_number_++, connected_by);
+                                              std::move(slot), next_connection_number_++, connected_at);
 }
 
 void ClientServer::on_request(ClientConnection& connection, ClientRequest&& request) {
@@ -124,10 +123,10 @@
     if (const auto connection = take_in_flight(id)) connection->abort_stream();
 }
 
-void ClientServer::open() {
+void ClientServer::accept_requests() {
     if (std::exchange(open_, true)) return;
     for (const auto& connection : connections_.newcomers())
-        contain(
+        run_contained(
             "client", [&] { connection->process_input(); },
             [&] { connection->close(ClientCloseReason::internal_error); });
 }
@@ -160,14 +159,14 @@
 }
 
 void ClientServer::adopt(Descriptor&& socket, std::string_view unread, bool first_request) {
-    std::optional<SocketBudget::Place> place = budget_.take(SocketBudget::Side::client);
+    std::optional<SocketBudget::Slot> slot = budget_.acquire(SocketBudget::Side::client);
     error_code ec;
     tcp::socket adopted(io_);
     adopted.assign(listener_.local_endpoint().protocol(), socket.get(), ec);
     // `adopted` owns the descriptor from here on.
     if (!ec) socket.release();
-    if (!place || ec) return;
-    const auto connection = make_connection(std::move(adopted), std::move(*place), Steady::now());
+    if (!slot || ec) return;
+    const auto connection = make_connection(std::move(adopted), std::move(*slot), Steady::now());
     if (first_request) connections_.add_newcomer(connection);
     else connections_.add_known(connection);
     connection->start_adopted(unread, first_request);
--- a/src/server/handover.cpp
+++ b/src/server/handover.cpp
@@ -183,7 +183,7 @@
       listener_(io),
       accept_retry_(io) {}
 
-std::shared_ptr<HandoverChannel> HandoverSocket::find() const {
+std::shared_ptr<HandoverChannel> HandoverSocket::connect_to_predecessor() const {
     const Descriptor folder = open_folder(folder_);
     if (!folder) return nullptr;
     const auto address = address_in(folder, name_);
@@ -194,7 +194,7 @@
     return std::make_shared<HandoverChannel>(io_, std::move(socket));
 }
 
-void HandoverSocket::wait(std::function<void(std::shared_ptr<HandoverChannel>)> on_successor) {
+void HandoverSocket::listen(std::function<void(std::shared_ptr<HandoverChannel>)> on_successor) {
     on_successor_ = std::move(on_successor);
     const Descriptor folder = open_folder(folder_);
     if (!folder) return;
--- a/src/server/host_pool.cpp
+++ b/src/server/host_pool.cpp
@@ -62,11 +62,11 @@
 }
 
 void HostPool::on_attempt_result(const AttemptKey& key, const std::string& uid, HostResult&& result) {
-    callbacks_.on_attempt(key, uid, std::move(result));
+    callbacks_.on_attempt_result(key, uid, std::move(result));
 }
 
 void HostPool::on_health_check_result(const std::string& uid, HostResult&& result) {
-    callbacks_.on_probe(uid, std::move(result));
+    callbacks_.on_health_check_result(uid, std::move(result));
 }
 
 bool HostPool::streams_responses() const { return static_cast<bool>(callbacks_.on_response_started); }
@@ -76,7 +76,7 @@
 }
 
 void HostPool::on_response_piece(const AttemptKey& key, std::string&& piece) {
-    callbacks_.on_piece(key, std::move(piece));
+    callbacks_.on_response_piece(key, std::move(piece));
 }
 
 void HostPool::update(const EndpointList& list) {
@@ -176,24 +176,24 @@
 
 // Returns null if the socket budget is exhausted.
 HostPool::ConnectionPointer HostPool::make_connection(const std::shared_ptr<PooledHost>& host) {
-    auto place = budget_.take(SocketBudget::Side::host);
-    if (!place) return nullptr;
+    auto slot = budget_.acquire(SocketBudget::Side::host);
+    if (!slot) return nullptr;
     HostConnectionOwner& owner = *this;
-    return std::make_shared<HostConnection>(io_, owner, host, std::move(*place), connect_timeout_);
+    return std::make_shared<HostConnection>(io_, owner, host, std::move(*slot), connect_timeout_);
 }
 
 void HostPool::attempt(const AttemptKey& key, const std::string& uid, Request& message,
                        std::chrono::microseconds timeout) {
     HostResult not_sent;
     const auto connection = acquire(uid, not_sent.outcome);
-    if (!connection) return callbacks_.on_attempt(key, uid, std::move(not_sent));
+    if (!connection) return callbacks_.on_attempt_result(key, uid, std::move(not_sent));
     connection->send_attempt(key, message, timeout);
 }
 
-void HostPool::probe(const std::string& uid) {
+void HostPool::check_health(const std::string& uid) {
     HostResult not_sent;
     const auto connection = acquire(uid, not_sent.outcome);
-    if (!connection) return callbacks_.on_probe(uid, std::move(not_sent));
+    if (!connection) return callbacks_.on_health_check_result(uid, std::move(not_sent));
     connection->send_health_check(connect_timeout_);
 }
 
--- a/src/server/runtime.cpp
+++ b/src/server/runtime.cpp
@@ -56,16 +56,16 @@
 
 HostPool::Callbacks Runtime::host_callbacks() {
     HostPool::Callbacks callbacks;
-    callbacks.on_attempt = [this](const auto& key, const auto& uid, HostResult&& result) {
+    callbacks.on_attempt_result = [this](const auto& key, const auto& uid, HostResult&& result) {
         requests_.on_attempt_ended(key, uid, std::move(result));
     };
-    callbacks.on_probe = [this](const auto& uid, HostResult&& result) {
+    callbacks.on_health_check_result = [this](const auto& uid, HostResult&& result) {
         hosts_.on_health_check_ended(uid, std::move(result));
     };
     callbacks.on_response_started = [this](const auto& key, const auto& uid, HostResult&& result) {
         return requests_.on_response_started(key, uid, std::move(result));
     };
-    callbacks.on_piece = [this](const auto& key, std::string&& piece) {
+    callbacks.on_response_piece = [this](const auto& key, std::string&& piece) {
         listeners_.clients()->send_piece(key.request, std::move(piece));
     };
     callbacks.on_closed = [this](HostCloseReason reason) { metrics_.host_closed(reason); };
@@ -109,10 +109,10 @@
 void Runtime::execute(decision::Action& action) {
     std::visit(
         Visitor{
-            [this](const decision::CheckHealth& check) { pool_.probe(check.host); },
+            [this](const decision::CheckHealth& check) { pool_.check_health(check.host); },
             [this](const decision::SetTimer& timer) {
-                // Rounded up to a multiple of the tick, as in the simulator: timers that are due close
-                // together cause a single wake-up.
+                // The time is rounded up to the next multiple of the tick, as in the simulator, so that
+                // timers that are due close together cause a single wake-up.
                 const Micros tick = std::max(config_.settings.tick, 1us);
                 const Micros due = clock_.now() + std::max(timer.from_now, 1us);
                 timers_.add_timer((due / tick + 1) * tick, timer.token);
--- a/tests/decision/concurrency_test.cpp
+++ b/tests/decision/concurrency_test.cpp
@@ -21,7 +21,7 @@
 }
 
 Settings fleet_settings_with_two_permits() {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.plans[0].rate = settings.plans[0].burst = 100;
     settings.plans[0].max_concurrency = 2;
     return settings;
@@ -72,7 +72,7 @@
 // Guards against even shares that exceed the limit in total: 43% of the attempts sent as a customer's second
 // attempt in flight at one gateway exceeded the limit.
 TEST(ConcurrencyLimit, EvenSharesOfGatewaysDoNotExceedTheLimitInTotal) {
-    Settings settings = settings_of_one_of_two();
+    Settings settings = two_gateway_settings();
     settings.plans[0].rate = settings.plans[0].burst = 100;
     settings.plans[0].max_concurrency = 3;
     std::size_t sent = 0;
@@ -123,7 +123,7 @@
 TEST(ConcurrencyLimit, GatewaysOfASetLargerThanTheLimitDoNotExceedTheLimitInTotal) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         Fleet fleet(fleet_settings_with_two_permits(), 12, seed);
-        fleet.answer_after = 200'000us;
+        fleet.response_time = 200'000us;
         RequestId id = 0;
         int total = 0, beyond_limit = 0;
         for (Micros passed{0}; passed < 60s; passed += 20ms) {
@@ -131,7 +131,7 @@
             if (fleet.random() % 10 == 0) fleet.request(static_cast<int>(fleet.random() % 5), ++id, 1, 5, 2s);
             fleet.advance(20ms);
             total += static_cast<int>(fleet.sent.size() - before);
-            beyond_limit += fleet.sent.size() > before && fleet.answers.size() > 2;
+            beyond_limit += fleet.sent.size() > before && fleet.pending_responses.size() > 2;
         }
         // 5 requests per second with a response time of 0.2 s use half of the limit on average.
         EXPECT_GT(total, 0.9 * static_cast<double>(id)) << seed;
@@ -143,7 +143,7 @@
     Settings settings = fleet_settings_with_two_permits();
     settings.may_hedge = settings.may_cancel = false;
     Fleet fleet(settings, 12, 1);
-    fleet.answer_after = 60s;  // no attempt ends during the test
+    fleet.response_time = 60s;  // no attempt ends during the test
     const int lease_holder = static_cast<int>(name_hash("c") % 5);
     const int failing = (lease_holder + 1) % 5, waiting = (lease_holder + 2) % 5;
     for (RequestId id = 1; id <= 2; ++id) fleet.request(failing, id, 1, 5, 60s);
--- a/tests/server/admin_server_test.cpp
+++ b/tests/server/admin_server_test.cpp
@@ -16,8 +16,8 @@
     // Sends the text on a new connection and returns the status of the answer, or 0 if there is none.
     unsigned status_of(const std::string& text) {
         Client caller(io, admin.local_endpoint());
-        caller.say(text);
-        EXPECT_TRUE(run_until(io, [&] { return caller.ended(); })) << text;
+        caller.send(text);
+        EXPECT_TRUE(run_until(io, [&] { return caller.closed(); })) << text;
         return caller.answers().empty() ? 0u : caller.answers()[0].result_int();
     }
     static std::string post(const std::string& path, const std::string& body = {}) {
@@ -59,7 +59,7 @@
     for (int i = 0; i < 40; ++i) {
         unfinished_callers.push_back(std::make_unique<Client>(io, admin.local_endpoint()));
         if (i % 2)
-            unfinished_callers.back()->say(
+            unfinished_callers.back()->send(
                 "POST /maintenance/enter HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\ns-");
     }
     const auto start = std::chrono::steady_clock::now();
@@ -67,7 +67,7 @@
     EXPECT_LT(std::chrono::steady_clock::now() - start, 500ms);
     EXPECT_EQ(calls.size(), 1u);
     // An incomplete request is answered with status 408 in time.
-    EXPECT_TRUE(run_until(io, [&] { return unfinished_callers[39]->ended(); }));
+    EXPECT_TRUE(run_until(io, [&] { return unfinished_callers[39]->closed(); }));
     EXPECT_EQ(unfinished_callers[39]->answers().at(0).result_int(), 408u);
     EXPECT_LT(std::chrono::steady_clock::now() - start, 1s);
 }
--- a/tests/server/client_disconnect_test.cpp
+++ b/tests/server/client_disconnect_test.cpp
@@ -6,10 +6,10 @@
 
 TEST_F(GatewayTest, ADisconnectedClientReleasesItsConnectionAndTheNextClientIsServed) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     {
         Client client(io, address());
-        client.say(request("a"));
+        client.send(request("a"));
         ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
         client.close();
     }
@@ -17,21 +17,22 @@
     host.peers[0]->ok("to nobody");
     on_request = [](auto& peer) { peer.ok("next"); };
     Client client(io, address());
-    client.say(request("b"));
+    client.send(request("b"));
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].body(), "next");
 }
 
 // Guards against connections to hosts that are established only after the end of their request and still
-// carry the request to a host. In one case, a third of the connections came up late, and some of them did so.
+// carry the request to a host. In one case, a third of the connections were established late, some of them
+// after the end of their request.
 TEST_F(GatewayTest, AnUnsentAttemptEndsWhenItsClientDisconnects) {
-    NeverUp unreachable(io);
+    UnreachableServer unreachable(io);
     endpoint_list =
         complete_list(1, endpoint_entry("n", "127.0.0.1:" + std::to_string(unreachable.endpoint().port())));
-    may = R"("connectTimeoutUs":14000000,)";
-    ASSERT_TRUE(starts());
+    extra_ceilings = R"("connectTimeoutUs":14000000,)";
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
-    client.say(request("a"));
+    client.send(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::host) == 1; }));
     client.close();
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 0; }));
@@ -39,18 +40,18 @@
 }
 
 TEST_F(GatewayTest, AnUnsentHedgeEndsWhenTheFirstAttemptIsAnswered) {
-    NeverUp unreachable(io);
+    UnreachableServer unreachable(io);
     deadline_ms = 4000;
-    may = R"("connectTimeoutUs":14000000,"mayDuplicate":true,)";
-    ASSERT_TRUE(starts());
+    extra_ceilings = R"("connectTimeoutUs":14000000,"mayDuplicate":true,)";
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     std::size_t requests_received = 0;
     for (; requests_received < 5; ++requests_received) {
-        client.say(request(std::string("r").append(std::to_string(requests_received))));
+        client.send(request(std::string("r").append(std::to_string(requests_received))));
         ASSERT_TRUE(answered(client, requests_received + 1) && time_passes(20ms));
     }
     on_request = [](auto&) {};
-    client.say(request("slow"));
+    client.send(request("slow"));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == requests_received + 1; }));
     endpoint_list = complete_list(
         2, endpoint_entry("h", host.address()) + "," +
@@ -66,12 +67,12 @@
 
 // Guards against clients that send much data and then disconnect: unread bytes must not hide the disconnect.
 TEST_F(GatewayTest, ADisconnectBehindUnreadBytesCancelsTheAttempt) {
-    may = R"("cancel":true,)";
+    extra_ceilings = R"("cancel":true,)";
     on_request = [](auto&) {};
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     for (const std::size_t excess_bytes : {5000u, 40000u}) {
         Client client(io, address());
-        client.say(request("a") + std::string(excess_bytes, 'x'));
+        client.send(request("a") + std::string(excess_bytes, 'x'));
         const std::size_t requests_received = host.requests.size();
         ASSERT_TRUE(run_until(io, [&] { return host.requests.size() > requests_received; })) << excess_bytes;
         client.close();
@@ -84,27 +85,27 @@
 
 TEST_F(GatewayTest, AClientThatSendsExcessDataIsAnsweredAndDisconnected) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
-    client.say(request("a") + std::string(40000, 'x'));
+    client.send(request("a") + std::string(40000, 'x'));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
     ASSERT_TRUE(time_passes(50ms));
     host.peers[0]->ok("served");
-    ASSERT_TRUE(run_until(io, [&] { return client.ended(); }));
+    ASSERT_TRUE(run_until(io, [&] { return client.closed(); }));
     ASSERT_EQ(client.answers().size(), 1u);
     EXPECT_EQ(client.answers()[0].body(), "served");
     // A client that never stops sending is disconnected.
     Client flooding_client(io, address());
-    flooding_client.say(request("b"));
+    flooding_client.send(request("b"));
     try {
-        for (int i = 0; i < 40 && !flooding_client.ended(); ++i) {
-            flooding_client.say(std::string(16384, 'x'));
+        for (int i = 0; i < 40 && !flooding_client.closed(); ++i) {
+            flooding_client.send(std::string(16384, 'x'));
             ASSERT_TRUE(time_passes(2ms));
         }
-        // The gateway closed the connection during a write.
     } catch (const boost::system::system_error&) {
+        // The gateway closed the connection during a write.
     }
-    EXPECT_TRUE(run_until(io, [&] { return flooding_client.ended(); }));
+    EXPECT_TRUE(run_until(io, [&] { return flooding_client.closed(); }));
     EXPECT_TRUE(flooding_client.answers().empty());
 }
 
--- a/tests/server/gateway_fixture.h
+++ b/tests/server/gateway_fixture.h
@@ -45,23 +45,23 @@
     Server discovery{io, [this](auto& peer) { on_list_call(peer); }};
     std::string plan = R"({"name":"basic","rate":1000,"mostAtOnce":1000,"worthFactor":1})";
     // Further keys of the configuration file, each followed by a comma.
-    std::string extra;
+    std::string extra_config;
     // Further keys of `ceilings` in the settings, each followed by a comma.
-    std::string may;
+    std::string extra_ceilings;
     // The value of `membershipMode` in the settings.
-    std::string mode = "automatic";
+    std::string membership_mode = "automatic";
     std::optional<Runtime> runtime;
 
     void SetUp() override { endpoint_list = complete_list(1, endpoint_entry("h", host.address())); }
     Config config() const {
         return parse_config(
-            R"({"name":"n0","listen":"127.0.0.1:0","discovery":")" + discovery.address() + R"(",)" + extra +
-                R"("settings":{"rank":0,"instances":1,"locality":"a","membershipMode":")" + mode +
-                R"(","tickUs":4000,"tiersOfService":[)" + plan +
+            R"({"name":"n0","listen":"127.0.0.1:0","discovery":")" + discovery.address() + R"(",)" +
+                extra_config + R"("settings":{"rank":0,"instances":1,"locality":"a","membershipMode":")" +
+                membership_mode + R"(","tickUs":4000,"tiersOfService":[)" + plan +
                 R"(],"familyInfo":{"unitsTop":2},"requestClasses":[{"name":"read","effect":"retryable","deadlineUs":)" +
                 std::to_string(deadline_ms) +
                 R"(000,"value":1},{"name":"book","effect":"fragile","deadlineUs":)" +
-                std::to_string(deadline_ms) + R"(000,"value":1}],"ceilings":{)" + may +
+                std::to_string(deadline_ms) + R"(000,"value":1}],"ceilings":{)" + extra_ceilings +
                 R"("maxAttempts":4,"retryAfter":true},)"
                 R"("guarantees":{"startCapacity":0.2,"coldUs":1000000,"fallUs":1000000}}})",
             [](const char*) { return nullptr; });
@@ -74,7 +74,7 @@
         return *runtime;
     }
     tcp::endpoint address() { return gateway().clients().local_endpoint(); }
-    bool starts() {
+    bool becomes_ready() {
         gateway();
         return run_until(io, [&] { return gateway().ready(); });
     }
--- a/tests/server/gateway_test.cpp
+++ b/tests/server/gateway_test.cpp
@@ -5,9 +5,9 @@
 namespace {
 
 TEST_F(GatewayTest, ServesARequestAndKeepsTheConnectionAlive) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
-    client.say(request("a"));
+    client.send(request("a"));
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].result_int(), 200u);
     EXPECT_EQ(client.answers()[0].body(), "served");
@@ -15,20 +15,21 @@
     EXPECT_EQ(host.requests[0]["X-Trace-Id"], "a");
     // The connection to the host becomes idle after the response.
     ASSERT_TRUE(time_passes(20ms));
-    client.say(request("b"));
+    client.send(request("b"));
     ASSERT_TRUE(answered(client, 2));
-    EXPECT_FALSE(client.ended());
+    EXPECT_FALSE(client.closed());
     EXPECT_EQ(host.peers.size(), 1u);
 }
 
-// Guards against a gateway that starts the time of these requests only when it reads them: it would forward
-// them and answer long after their clients have stopped waiting.
+// The next three tests guard against a gateway that counts the time until a request expires from its parsing
+// rather than from its arrival: the gateway would forward the request and answer long after the client has
+// stopped waiting.
 TEST_F(GatewayTest, ARequestThatExpiresBeforeTheGatewayOpensIsRejectedAtOnce) {
     endpoint_list.clear();
-    extra = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
+    extra_config = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
     gateway();
     Client client(io, address());
-    client.say(request("a", {}, "read", 50ms));
+    client.send(request("a", {}, "read", 50ms));
     // The answer follows after the wait for discovery's first list.
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].result_int(), 429u);
@@ -38,9 +39,9 @@
 TEST_F(GatewayTest, ARequestThatExpiresBehindAnotherIsRejectedAtOnce) {
     std::vector<std::shared_ptr<Server::Peer>> held_requests;
     on_request = [&](Server::Peer& peer) { held_requests.push_back(peer.shared_from_this()); };
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
-    client.say(request("a") + request("b", {}, "read", 20ms));
+    client.send(request("a") + request("b", {}, "read", 20ms));
     ASSERT_TRUE(run_until(io, [&] { return held_requests.size() == 1; }));
     ASSERT_TRUE(time_passes(30ms));
     held_requests[0]->ok("served");
@@ -51,14 +52,14 @@
 }
 
 TEST_F(GatewayTest, ARequestThatExpiresDuringThePauseAfterAnInvalidOneIsRejectedAtOnce) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     // Each invalid request doubles the pause after it, to 160 ms after the last one.
     for (std::size_t invalid = 1; invalid <= 4; ++invalid) {
-        client.say("GET /api HTTP/1.1\r\nHost: x\r\n\r\n");
+        client.send("GET /api HTTP/1.1\r\nHost: x\r\n\r\n");
         ASSERT_TRUE(answered(client, invalid));
     }
-    client.say(request("a", {}, "read", 5ms));
+    client.send(request("a", {}, "read", 5ms));
     ASSERT_TRUE(answered(client, 5));
     EXPECT_EQ(client.answers()[4].result_int(), 429u);
     EXPECT_TRUE(host.requests.empty());
@@ -66,10 +67,10 @@
 
 TEST_F(GatewayTest, MetricsCountRejectionsAndClosedConnectionsByReason) {
     plan = R"({"name":"basic","rate":0.001,"mostAtOnce":2,"excessCost":1,"worthFactor":1})";
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     for (std::size_t call = 1; call <= 6; ++call) {
-        client.say(request(std::string("a").append(std::to_string(call))));
+        client.send(request(std::string("a").append(std::to_string(call))));
         ASSERT_TRUE(answered(client, call));
     }
     client.close();
@@ -90,11 +91,11 @@
 
 TEST_F(GatewayTest, ACustomerOverItsQuotaIsRejectedAtOnceWithRetryAfter) {
     plan = R"({"name":"basic","rate":0.001,"mostAtOnce":2,"excessCost":1,"worthFactor":1})";
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     std::size_t sent = 0;
     do {
-        client.say(request(std::string("r").append(std::to_string(sent++))));
+        client.send(request(std::string("r").append(std::to_string(sent++))));
         ASSERT_TRUE(answered(client, sent));
     } while (client.answers().back().result_int() == 200u && sent < 10);
     EXPECT_EQ(client.answers().back().result_int(), 429u);
@@ -106,10 +107,10 @@
     Server broken(io, [](auto& peer) { peer.reset(); });
     endpoint_list =
         complete_list(1, endpoint_entry("b", broken.address()) + "," + endpoint_entry("h", host.address()));
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     for (std::size_t i = 1; broken.requests.empty() && i < 50; ++i) {
-        client.say(request(std::string("r").append(std::to_string(i))));
+        client.send(request(std::string("r").append(std::to_string(i))));
         ASSERT_TRUE(answered(client, i));
         EXPECT_EQ(client.answers().back().result_int(), 200u);
     }
@@ -118,11 +119,11 @@
 
 TEST_F(GatewayTest, ARequestIsAnsweredByItsDeadlineWhenItsHostDoesNotRespond) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     std::string text = request("a");
     text.replace(text.find("15000"), 5, "100");
-    client.say(text);
+    client.send(text);
     ASSERT_TRUE(answered(client));
     EXPECT_NE(client.answers()[0].result_int(), 200u);
     // The client receives no second answer.
@@ -130,7 +131,7 @@
 }
 
 TEST_F(GatewayTest, AReloadMovesTheWatchAndKeepsTheListInUse) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Server other(io, [](auto& peer) { peer.ok("other"); });
     // The list that the new discovery server sends; it does not respond while this is empty.
     std::string next_list;
@@ -144,16 +145,15 @@
     ASSERT_TRUE(run_until(io, [&] { return next.requests.size() == 1; }));
     EXPECT_EQ(next.targets[0], "/catalog/members");
     Client client(io, address());
-    client.say(request("a"));
+    client.send(request("a"));
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].body(), "served");
-    next_list =
-        // The version of the list is lower than that of the previous discovery server.
-        complete_list(0, endpoint_entry("o", other.address()));
+    // The version of the list is lower than that of the previous discovery server.
+    next_list = complete_list(0, endpoint_entry("o", other.address()));
     ASSERT_TRUE(run_until(io, [&] {
         return next.requests.size() > 1 && next.targets.back().find("from=0&") != std::string::npos;
     }));
-    client.say(request("b"));
+    client.send(request("b"));
     ASSERT_TRUE(answered(client, 2));
     EXPECT_EQ(client.answers()[1].body(), "other");
     const std::size_t before = discovery.requests.size();
@@ -179,47 +179,47 @@
 // Guards against the loss of a chunked body: a host once received no body, because the forwarded request did
 // not state its length.
 TEST_F(GatewayTest, AChunkedRequestReachesTheHostWithItsCompleteBody) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     std::string text = request("a", "Transfer-Encoding: chunked\r\n", "book");
     text.replace(0, 3, "POST");
-    client.say(text + "3\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 1\r\n\r\n");
+    client.send(text + "3\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 1\r\n\r\n");
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].result_int(), 200u);
     EXPECT_EQ(host.requests.at(0).body(), "abcde");
 }
 
 TEST_F(GatewayTest, AHeadRequestIsForwardedAndAnsweredWithoutABody) {
-    ASSERT_TRUE(starts());
-    on_request = [](auto& peer) { peer.say("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"); };
+    ASSERT_TRUE(becomes_ready());
+    on_request = [](auto& peer) { peer.send("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"); };
     Client client(io, address());
     std::string text = request("a");
-    client.say("HEAD" + text.substr(3));
-    ASSERT_TRUE(run_until(io, [&] { return client.heard().find("\r\n\r\n") != std::string::npos; }));
-    EXPECT_EQ(client.heard().substr(0, 12), "HTTP/1.1 200");
-    EXPECT_NE(client.heard().find("Content-Length: 7\r\n"), std::string::npos);
-    EXPECT_EQ(client.heard().substr(client.heard().size() - 4), "\r\n\r\n");
+    client.send("HEAD" + text.substr(3));
+    ASSERT_TRUE(run_until(io, [&] { return client.received().find("\r\n\r\n") != std::string::npos; }));
+    EXPECT_EQ(client.received().substr(0, 12), "HTTP/1.1 200");
+    EXPECT_NE(client.received().find("Content-Length: 7\r\n"), std::string::npos);
+    EXPECT_EQ(client.received().substr(client.received().size() - 4), "\r\n\r\n");
     EXPECT_EQ(host.requests.at(0).method(), http::verb::head);
 }
 
 TEST_F(GatewayTest, ASlowBodyIsAcceptedAsLongAsItMakesProgress) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address()), stuck(io, address());
     std::string text = request("a", "Content-Length: 32768\r\n", "book");
     text.replace(0, 3, "POST");
-    client.say(text);
+    client.send(text);
     text.replace(text.find("X-Trace-Id: a") + 12, 1, "b");
-    stuck.say(text);
+    stuck.send(text);
     const auto begin = std::chrono::steady_clock::now();
     bool stuck_ended = false;
     for (int i = 1; i <= 16; ++i) {
         const auto next = begin + i * 200ms;
         ASSERT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() >= next; }));
-        if (!stuck_ended && stuck.ended()) {
+        if (!stuck_ended && stuck.closed()) {
             stuck_ended = true;
             EXPECT_LT(std::chrono::steady_clock::now() - begin, 3s);
         }
-        client.say(std::string(2048, 'x'));
+        client.send(std::string(2048, 'x'));
     }
     EXPECT_TRUE(stuck_ended);
     ASSERT_TRUE(answered(client));
--- a/tests/server/invalid_request_test.cpp
+++ b/tests/server/invalid_request_test.cpp
@@ -5,10 +5,10 @@
 namespace {
 
 TEST_F(GatewayTest, InvalidRequestsAreAnsweredAndDoNotAffectOtherClients) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     const auto status = [&](const std::string& text) {
         Client client(io, address());
-        client.say(text);
+        client.send(text);
         EXPECT_TRUE(answered(client)) << text.substr(0, 80);
         return client.answers().empty() ? 0u : client.answers()[0].result_int();
     };
@@ -16,9 +16,8 @@
     EXPECT_EQ(status("nonsense\r\n\r\n"), 400u);
     EXPECT_EQ(status(request("a", "", "unknown")), 400u);
     EXPECT_EQ(status("GET /api HTTP/1.1\r\nHost: x\r\nX-Qos: read\r\n\r\n"), 400u);
-    EXPECT_EQ(status(request("a", "X-Metering: units=1,spread=1,first=0\r\n")),
-              // The header occurs twice, and it is unclear which value applies.
-              400u);
+    // The header occurs twice, and it is unclear which value applies.
+    EXPECT_EQ(status(request("a", "X-Metering: units=1,spread=1,first=0\r\n")), 400u);
     EXPECT_EQ(status("GET / HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: read\r\nX-Client-Id: 12\r\n\r\n"),
               400u);
     EXPECT_EQ(status("GET / HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\nX-Qos: read\r\nX-Client-Id: "
@@ -26,7 +25,7 @@
               400u);
     EXPECT_EQ(status(request("a", "X-Long: " + std::string(20000, 'x') + "\r\n")), 431u);
     EXPECT_EQ(status("POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\n"), 413u);
-    other.say(request("b"));
+    other.send(request("b"));
     ASSERT_TRUE(answered(other));
     EXPECT_EQ(other.answers()[0].result_int(), 200u);
 }
@@ -34,18 +33,18 @@
 // Guards against an exception that ended the process: for a line without an end in a chunked body, the parser
 // requested more bytes than its full buffer could hold.
 TEST_F(GatewayTest, AnEndlessLineInAChunkedBodyClosesOnlyItsConnection) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     const std::string endless(200'000, '1');
     for (const std::string& line :
          {endless, "1;" + endless, "1;a=\"" + endless, "0\r\nX-Trailer: " + endless}) {
         Client client(io, address());
-        client.say("POST /api HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + line);
-        ASSERT_TRUE(run_until(io, [&] { return client.ended(); }));
+        client.send("POST /api HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + line);
+        ASSERT_TRUE(run_until(io, [&] { return client.closed(); }));
         ASSERT_EQ(client.answers().size(), 1u) << line.substr(0, 20);
         EXPECT_EQ(client.answers()[0].result_int() / 100, 4u);
     }
     Client other(io, address());
-    other.say(request("b"));
+    other.send(request("b"));
     ASSERT_TRUE(answered(other));
     EXPECT_EQ(other.answers()[0].result_int(), 200u);
 }
@@ -53,14 +52,14 @@
 // Requests with invalid attributes must neither reach a host nor be charged to a customer's quota.
 TEST_F(GatewayTest, RequestsThatContradictTheSettingsAreNeverForwarded) {
     plan = R"({"name":"basic","rate":0.001,"mostAtOnce":2,"excessCost":1,"worthFactor":1})";
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     const std::string valid_request = request("a");
     const auto status = [&](const std::string& from, const std::string& to) {
         std::string text = valid_request;
         EXPECT_NE(text.find(from), std::string::npos) << from;
         text.replace(text.find(from), from.size(), to);
         Client client(io, address());
-        client.say(text);
+        client.send(text);
         EXPECT_TRUE(answered(client)) << to;
         return client.answers().empty() ? 0u : client.answers()[0].result_int();
     };
@@ -87,7 +86,7 @@
 // Guards against request smuggling: two parsers that disagree about the end of a message let an unchecked
 // request through.
 TEST_F(GatewayTest, ARequestOfAmbiguousLengthIsRejectedAndNotForwarded) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     std::string hidden = request("hidden"), head = request("a", "", "book");
     head.replace(0, 3, "POST");
     head.resize(head.size() - 2);
@@ -100,8 +99,8 @@
           "Content-Length: -5\r\n", "Content-Length: 99999999999999999999\r\n",
           "Content-Length: 5\nX: y\r\n"}) {
         Client client(io, address());
-        client.say(head + fields + "\r\n0\r\n\r\n" + hidden);
-        ASSERT_TRUE(run_until(io, [&] { return client.ended(); })) << fields;
+        client.send(head + fields + "\r\n0\r\n\r\n" + hidden);
+        ASSERT_TRUE(run_until(io, [&] { return client.closed(); })) << fields;
         ASSERT_EQ(client.answers().size(), 1u) << fields;
         EXPECT_EQ(client.answers()[0].result_int(), 400u) << fields;
     }
@@ -110,11 +109,11 @@
 
 TEST_F(GatewayTest, ARequestWithATraceIdInFlightIsRejected) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client first(io, address()), second(io, address());
-    first.say(request("a"));
+    first.send(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
-    second.say(request("a"));
+    second.send(request("a"));
     ASSERT_TRUE(answered(second));
     EXPECT_EQ(second.answers()[0].result_int(), 409u);
     EXPECT_TRUE(first.answers().empty());
@@ -124,7 +123,7 @@
     EXPECT_EQ(first.answers()[0].body(), "own");
     EXPECT_EQ(host.requests.size(), 1u);
     // The first request has ended, so its trace id may be used again.
-    first.say(request("a"));
+    first.send(request("a"));
     ASSERT_TRUE(answered(first, 2));
     EXPECT_EQ(first.answers()[1].body(), "again");
 }
--- a/tests/server/known_list_test.cpp
+++ b/tests/server/known_list_test.cpp
@@ -8,13 +8,13 @@
 // Regression: a poll for the complete list starts no watch, so each gateway made a second call for its watch.
 // The first calls of all gateways were twice what discovery can serve, and most of them were rejected.
 TEST_F(GatewayTest, InSubscribeModeTheFirstPollStartsFromTheKnownList) {
-    mode = "subscribe";
-    extra = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
+    membership_mode = "subscribe";
+    extra_config = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
     endpoint_list = R"({"rev":9,"all":false,"targets":[]})";
     on_list_call = [this](Server::Peer& peer) {
         if (peer.request.target().find("hold_ms=0") != std::string::npos) peer.ok(endpoint_list);
     };
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     ASSERT_TRUE(run_until(io, [&] { return discovery.targets.size() >= 2; }));
     EXPECT_EQ(discovery.targets[0], "/catalog/members?from=7&hold_ms=0");
     EXPECT_EQ(discovery.targets[1].substr(0, 33), "/catalog/members?from=9&hold_ms=1");
@@ -22,15 +22,15 @@
 
 // If discovery has restarted its version numbers, a watch from the known version might never be answered.
 TEST_F(GatewayTest, IfDiscoverysVersionIsOlderTheCompleteListIsPolled) {
-    mode = "subscribe";
-    extra = R"("known":)" + complete_list(7, endpoint_entry("gone", "127.0.0.1:1")) + ",";
+    membership_mode = "subscribe";
+    extra_config = R"("known":)" + complete_list(7, endpoint_entry("gone", "127.0.0.1:1")) + ",";
     on_list_call = [this](Server::Peer& peer) {
         if (peer.request.target() == "/catalog/members")
             peer.ok(complete_list(2, endpoint_entry("h", host.address())));
         else if (peer.request.target().find("hold_ms=0") != std::string::npos)
             peer.ok(R"({"rev":2,"all":false,"targets":[]})");
     };
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     ASSERT_TRUE(run_until(io, [&] { return discovery.targets.size() >= 3; }));
     EXPECT_EQ(discovery.targets[1], "/catalog/members");
     EXPECT_EQ(discovery.targets[2].substr(0, 24), "/catalog/members?from=2&");
@@ -41,23 +41,23 @@
     gateway();
     ASSERT_TRUE(run_until(io, [&] { return discovery.requests.size() >= 2; }));
     Client client(io, address());
-    client.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+    client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].result_int(), 503u);
     endpoint_list = complete_list(2, endpoint_entry("h", host.address()));
     for (const auto& peer : discovery.peers) peer->close();
-    ASSERT_TRUE(starts());
-    client.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+    ASSERT_TRUE(becomes_ready());
+    client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     ASSERT_TRUE(answered(client, 2));
     EXPECT_EQ(client.answers()[1].result_int(), 200u);
 }
 
 TEST_F(GatewayTest, ServesFromTheKnownListWhileDiscoveryDoesNotRespond) {
     endpoint_list.clear();
-    extra = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
-    ASSERT_TRUE(starts());
+    extra_config = R"("known":)" + complete_list(7, endpoint_entry("h", host.address())) + ",";
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
-    client.say(request("a"));
+    client.send(request("a"));
     ASSERT_TRUE(answered(client));
     EXPECT_EQ(client.answers()[0].result_int(), 200u);
 }
@@ -65,10 +65,10 @@
 TEST_F(GatewayTest, RequestsWaitBrieflyForTheFirstAnswerOfDiscovery) {
     std::string next_list = std::exchange(endpoint_list, {});
     Server removed_host(io, [](auto& peer) { peer.ok("left"); });
-    extra = R"("known":)" + complete_list(7, endpoint_entry("l", removed_host.address())) + ",";
+    extra_config = R"("known":)" + complete_list(7, endpoint_entry("l", removed_host.address())) + ",";
     gateway();
     Client client(io, address());
-    client.say(request("a"));
+    client.send(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return discovery.requests.size() == 1; }));
     while (io.poll() > 0) {  // runs all handlers that are ready after the request
     }
--- a/tests/server/loopback.h
+++ b/tests/server/loopback.h
@@ -43,10 +43,10 @@
         boost::beast::flat_buffer buffer;
         Request request;
         bool closed = false;
-        void say(const std::string& text) { asio::write(socket, asio::buffer(text)); }
+        void send(const std::string& text) { asio::write(socket, asio::buffer(text)); }
         void ok(const std::string& body, const std::string& fields = {}) {
-            say("HTTP/1.1 200 OK\r\n" + fields + "Content-Length: " + std::to_string(body.size()) +
-                "\r\n\r\n" + body);
+            send("HTTP/1.1 200 OK\r\n" + fields + "Content-Length: " + std::to_string(body.size()) +
+                 "\r\n\r\n" + body);
         }
         void close() { socket.close(); }
         void reset() {
@@ -100,14 +100,14 @@
         state_->socket.connect(to);
         read(state_);
     }
-    void say(const std::string& text) { asio::write(state_->socket, asio::buffer(text)); }
+    void send(const std::string& text) { asio::write(state_->socket, asio::buffer(text)); }
     void close() { state_->socket.close(); }
-    const std::string& heard() const { return state_->heard; }
-    bool ended() const { return state_->ended; }
+    const std::string& received() const { return state_->received; }
+    bool closed() const { return state_->closed; }
     // Parses the complete responses received so far, in order.
     std::vector<Answer> answers() const {
         std::vector<Answer> all;
-        std::string_view unparsed = state_->heard;
+        std::string_view unparsed = state_->received;
         while (!unparsed.empty()) {
             http::response_parser<http::string_body> parser;
             parser.eager(true);
@@ -130,13 +130,13 @@
         explicit State(asio::io_context& io) : socket(io) {}
         tcp::socket socket;
         std::array<char, 65536> chunk{};
-        std::string heard;
-        bool ended = false;
+        std::string received;
+        bool closed = false;
     };
     static void read(std::shared_ptr<State> s) {
         s->socket.async_read_some(asio::buffer(s->chunk), [s](error_code ec, std::size_t n) {
-            s->heard.append(s->chunk.data(), n);
-            if (ec) s->ended = true;
+            s->received.append(s->chunk.data(), n);
+            if (ec) s->closed = true;
             else read(s);
         });
     }
@@ -145,9 +145,9 @@
 
 // An address at which connections are never established: the listener accepts none, and its backlog in the
 // kernel is full.
-class NeverUp {
+class UnreachableServer {
   public:
-    explicit NeverUp(asio::io_context& io) : acceptor_(io) {
+    explicit UnreachableServer(asio::io_context& io) : acceptor_(io) {
         acceptor_.open(tcp::v4());
         acceptor_.bind(any_port());
         acceptor_.listen(0);
--- a/tests/server/shutdown_test.cpp
+++ b/tests/server/shutdown_test.cpp
@@ -6,16 +6,16 @@
 
 TEST_F(GatewayTest, AShutdownAnswersRequestsInFlight) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client idle(io, address()), busy(io, address());
-    busy.say(request("a"));
+    busy.send(request("a"));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
     bool done = false;
     gateway().drain([&] { done = true; });
-    ASSERT_TRUE(run_until(io, [&] { return idle.ended(); }));
+    ASSERT_TRUE(run_until(io, [&] { return idle.closed(); }));
     // Clients still connect for a while after the signal.
     Client fresh(io, address());
-    fresh.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+    fresh.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     ASSERT_TRUE(answered(fresh));
     EXPECT_EQ(fresh.answers()[0].result_int(), 503u);
     EXPECT_FALSE(done);
@@ -34,11 +34,11 @@
     ClientServer server(
         io, any_port(), socket_budget, 1 << 20,
         {[&](ClientRequest&& r) { received.push_back(std::move(r)); }, [](auto) {}, [] { return true; }});
-    server.open();
+    server.accept_requests();
     server.drain();
     Client first(io, server.local_endpoint()), second(io, server.local_endpoint());
-    first.say(request("a"));
-    second.say(request("b"));
+    first.send(request("a"));
+    second.send(request("b"));
     EXPECT_TRUE(server.accept_backlog());
     EXPECT_FALSE(server.accept_backlog());
     ASSERT_TRUE(run_until(io, [&] { return received.size() == 2; }));
@@ -48,20 +48,20 @@
     EXPECT_TRUE(server.is_idle());
 }
 
-// The shutdown checks for open requests between two iterations of the event loop. At that time, a request may
-// be in the kernel's buffers only.
+// The shutdown checks for unanswered requests between two iterations of the event loop. At that time, a
+// request may still be in the kernel's buffer only.
 TEST_F(GatewayTest, AnUnreadRequestInTheKernelDelaysTheShutdown) {
     SocketBudget socket_budget(40);
     ClientServer server(
         io, any_port(), socket_budget, 1 << 20,
         {[&](ClientRequest&& r) { server.answer(r.id, make_answer(http::status::ok, "last")); }, [](auto) {},
          [] { return true; }});
-    server.open();
+    server.accept_requests();
     Client client(io, server.local_endpoint());
     ASSERT_TRUE(run_until(io, [&] { return socket_budget.in_use(SocketBudget::Side::client) == 1; }));
     server.drain();
     EXPECT_TRUE(server.is_idle());
-    client.say(request("a"));
+    client.send(request("a"));
     EXPECT_FALSE(server.is_idle());
     ASSERT_TRUE(answered(client));
     EXPECT_TRUE(server.is_idle());
@@ -79,7 +79,7 @@
                              server.answer(arrived.id, make_answer(http::status::ok, "last"));
                          },
                          [](auto) {}, [] { return true; }});
-    server.open();
+    server.accept_requests();
     tcp::socket client(io);
     client.connect(server.local_endpoint());
     asio::write(client, asio::buffer(request("a")));
@@ -100,12 +100,12 @@
     EXPECT_EQ(received, 1) << "a request after the shutdown of the connection was served";
 }
 
-// SIGKILL follows SIGTERM by at least 3.7 s, however long the request's deadline is.
+// SIGKILL may follow SIGTERM after 3.7 s, even if the deadline of a request is later.
 TEST_F(GatewayTest, RequestsInFlightAreAnsweredBeforeSigkill) {
     on_request = [](auto&) {};
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
-    client.say(request("a", "", "read"));
+    client.send(request("a", "", "read"));
     ASSERT_TRUE(run_until(io, [&] { return host.requests.size() == 1; }));
     const auto started_at = std::chrono::steady_clock::now();
     bool done = false;
@@ -118,14 +118,14 @@
 
 TEST_F(GatewayTest, AnIncompleteRequestDoesNotDelayAShutdown) {
     deadline_ms = 100;
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client incomplete(io, address());
-    incomplete.say("GET / HTTP/1.1\r\n");
+    incomplete.send("GET / HTTP/1.1\r\n");
     ASSERT_TRUE(run_until(io, [&] { return budget->in_use(SocketBudget::Side::client) == 1; }));
     bool done = false;
     gateway().drain([&] { done = true; });
     EXPECT_TRUE(run_until(io, [&] { return done; }));
-    EXPECT_FALSE(incomplete.ended());
+    EXPECT_FALSE(incomplete.closed());
 }
 
 }  // namespace
--- a/tests/server/streamed_response_test.cpp
+++ b/tests/server/streamed_response_test.cpp
@@ -30,32 +30,32 @@
     const auto with_chunks = std::make_shared<std::string>(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked + "0\r\nX-Sum: 1\r\n\r\n");
     const auto until_close = std::make_shared<std::string>("HTTP/1.1 200 OK\r\n\r\n" + body);
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     Client client(io, address());
     std::size_t n = 0;
     for (const auto& text : {with_length, with_chunks, until_close, with_length}) {
         on_request = [&](auto& peer) { write_all(peer, text, text == until_close); };
-        client.say(request("a" + std::to_string(n)));
+        client.send(request("a" + std::to_string(n)));
         ASSERT_TRUE(run_until(
-            io, [&] { return client.heard().size() > body.size() * (n + 1) && answered(client, n + 1); }));
+            io, [&] { return client.received().size() > body.size() * (n + 1) && answered(client, n + 1); }));
         EXPECT_EQ(client.answers()[n].result_int(), 200u);
         EXPECT_TRUE(client.answers()[n].body() == body);
         ++n;
     }
-    EXPECT_FALSE(client.ended());
+    EXPECT_FALSE(client.closed());
 }
 
 TEST_F(StreamedResponseTest, WaitsForASlowClient) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     const std::string body = bytes(30000000);
     const auto text =
         std::make_shared<std::string>("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" + body);
-    std::size_t written = 0;
+    std::size_t written_bytes = 0;
     on_request = [&](auto& peer) {
         asio::async_write(
             peer.socket, asio::buffer(*text),
-            [&written, text](error_code, std::size_t n) -> std::size_t {
-                written = n;
+            [&written_bytes, text](error_code, std::size_t n) -> std::size_t {
+                written_bytes = n;
                 return 65536;
             },
             [peer = peer.shared_from_this()](error_code, std::size_t) {});
@@ -66,40 +66,40 @@
     const auto resume_at = std::chrono::steady_clock::now() + 500ms;
     EXPECT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() > resume_at; }));
     // The host could write only as much as the kernel's buffers hold, plus a little in the gateway.
-    EXPECT_LT(written, 20000000u);
-    std::size_t heard = 0;
+    EXPECT_LT(written_bytes, 20000000u);
+    std::size_t received_bytes = 0;
     std::vector<char> chunk(65536);
     std::function<void()> read = [&] {
         slow.async_read_some(asio::buffer(chunk), [&](error_code ec, std::size_t n) {
-            heard += n;
+            received_bytes += n;
             if (!ec) read();
         });
     };
     read();
-    EXPECT_TRUE(run_until(io, [&] { return heard > body.size(); }));
+    EXPECT_TRUE(run_until(io, [&] { return received_bytes > body.size(); }));
     slow.close();
 }
 
 TEST_F(StreamedResponseTest, AnIncompleteResponseClosesTheConnectionAndTheGatewayServesOthers) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     on_request = [](auto& peer) {
-        peer.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                 as_chunk(std::string(100000, 'x')));
+        peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+                  as_chunk(std::string(100000, 'x')));
         peer.close();
     };
     Client client(io, address());
-    client.say(request("a"));
-    ASSERT_TRUE(run_until(io, [&] { return client.ended(); }));
+    client.send(request("a"));
+    ASSERT_TRUE(run_until(io, [&] { return client.closed(); }));
     EXPECT_TRUE(client.answers().empty());
     on_request = [](auto& peer) { peer.ok("served"); };
     Client other(io, address());
-    other.say(request("b"));
+    other.send(request("b"));
     ASSERT_TRUE(answered(other));
     EXPECT_EQ(other.answers()[0].body(), "served");
 }
 
 TEST_F(StreamedResponseTest, ADisconnectOfTheClientEndsTheAttempt) {
-    ASSERT_TRUE(starts());
+    ASSERT_TRUE(becomes_ready());
     const auto text = std::make_shared<std::string>("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" +
                                                     std::string(30000000, 'x'));
     bool ended = false;
@@ -109,8 +109,8 @@
             [&, peer = peer.shared_from_this()](error_code ec, std::size_t) { ended = ec.failed(); });
     };
     Client client(io, address());
-    client.say(request("a"));
-    ASSERT_TRUE(run_until(io, [&] { return client.heard().size() > 100000; }));
+    client.send(request("a"));
+    ASSERT_TRUE(run_until(io, [&] { return client.received().size() > 100000; }));
     client.close();
     EXPECT_TRUE(run_until(io, [&] { return ended; }));
 }
--- a/tests/server/system_call_test.cpp
+++ b/tests/server/system_call_test.cpp
@@ -25,11 +25,11 @@
                            server->answer(request.id, make_answer(http::status::ok, std::string(2000, 'x')));
                        },
                        [](std::uint64_t) {}, [] { return true; }});
-    server->open();
+    server->accept_requests();
     const ShortWrites short_writes;
     Client client(io, server->local_endpoint());
     for (std::size_t call = 1; call <= call_count; ++call) {
-        client.say("GET /api HTTP/1.1\r\nHost: x\r\n\r\n");
+        client.send("GET /api HTTP/1.1\r\nHost: x\r\n\r\n");
         ASSERT_TRUE(run_until(io, [&] { return client.answers().size() == call; })) << call;
     }
 }
@@ -50,8 +50,8 @@
     const ShortWrites short_writes;
     for (std::size_t call = 0; call < call_count; ++call) {
         Client caller(io, admin.local_endpoint());
-        caller.say("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
-        ASSERT_TRUE(run_until(io, [&] { return caller.ended(); }));
+        caller.send("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
+        ASSERT_TRUE(run_until(io, [&] { return caller.closed(); }));
         ASSERT_EQ(caller.answers().size(), 1u) << call;
     }
 }
@@ -105,7 +105,7 @@
     std::optional<Runtime> gateway;
     ASSERT_NO_THROW(gateway.emplace(io, budget, config));
     Client client(io, gateway->clients().local_endpoint());
-    client.say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+    client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     EXPECT_TRUE(run_until(io, [&] { return client.answers().size() == 1; }));
 }
 
@@ -117,7 +117,7 @@
     ClientServer server(
         io, any_port(), budget, std::size_t{1} << 20,
         ClientServer::Callbacks{[](ClientRequest&&) {}, [](std::uint64_t) {}, [] { return true; }});
-    server.open();
+    server.accept_requests();
     server.drain();
     tcp::socket client(io);
     client.connect(server.local_endpoint());
@@ -134,10 +134,10 @@
     const std::filesystem::path folder = Program::make_folder();
     HandoverSocket handover_socket(io, folder.string(), "x");
     bool connected = false;
-    handover_socket.wait([&](std::shared_ptr<HandoverChannel>) { connected = true; });
+    handover_socket.listen([&](std::shared_ptr<HandoverChannel>) { connected = true; });
     const FailingCalls failing(SocketCall::accept,
                                {EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE, EMFILE});
-    const auto successor = HandoverSocket(io, folder.string(), "x").find();
+    const auto successor = HandoverSocket(io, folder.string(), "x").connect_to_predecessor();
     ASSERT_NE(successor, nullptr);
     const auto until = std::chrono::steady_clock::now() + 30ms;
     ASSERT_TRUE(run_until(io, [&] { return std::chrono::steady_clock::now() >= until; }));
